--- a/carthinge/policy/__init__.py
+++ b/carthinge/policy/__init__.py
@@ -1,3 +1,3 @@
-"""Every decision of the dispatcher; what goes in and comes out is declared in interface.py."""
+"""The scheduling decisions of the dispatcher; interface.py declares its events and actions."""
 
 from carthinge.policy.dispatcher import Dispatcher as Dispatcher
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""A job's way from its arrival to its answer, over the parts that decide on it (docs/design.md)."""
+"""The dispatcher: takes a job from arrival to final answer (docs/design.md)."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -8,203 +8,212 @@
 from carthinge.dispatch_context import DispatchContext
 from carthinge.memory import attach, handlers
 from carthinge.policy.attempts import Attempts
-from carthinge.policy.discovery_events import CAP_START, DiscoveryEvents
+from carthinge.policy.discovery_events import INITIAL_CAP_SLOTS, DiscoveryEvents
 from carthinge.policy.fair_queueing import Tenants
 from carthinge.policy.load_reports import LoadReports
 from carthinge.policy.outlier_ejection import OutlierEjector
-from carthinge.policy.response_timeouts import GAIN, SIGN_LEAST
+from carthinge.policy.response_timeouts import EWMA_WEIGHT, MIN_RESPONSE_SHARE
 from carthinge.policy.slow_start import SlowStart
-from carthinge.policy.worker_selection import near
+from carthinge.policy.worker_selection import worker_subset
 from carthinge.records import Attempt, Job, put_back
 
-HINT_MOST: Final = 10.0  # times a class's deadline: long jobs are hinted at several times that
-OVER_YIELD: Final = 2.5  # times its worth, of the objective: the wait that work beyond its share may add to
+MAX_HINT_DEADLINES: Final = 10.0  # of the class's deadline: long jobs have hints of several deadlines
+OVER_SHARE_WAIT_FACTOR: Final = (
+    2.5  # longest wait of work over its share: times over_share_worth, in objectives
+)
 
 
 class Dispatcher:
-    """One gateway.  ``handle`` takes the time and what happened, and returns what to do."""
+    """Decides for one scheduler: ``handle`` takes the time and events and returns actions."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.context = context = DispatchContext(settings, seed, near)
-        self.jobs, self.fleet, self.loads = context.jobs, context.fleet, context.loads
+        self.context = context = DispatchContext(settings, seed, worker_subset)
+        self.jobs, self.fleet, self.loads = context.jobs, context.fleet, context.encode_loads
         self.tenants, self.reports = Tenants(), LoadReports(context)
         self.ejector, self.slow_start = OutlierEjector(context), SlowStart(context)
         self.attempts = Attempts(context, self.reports, self.ejector, self.slow_start)
         self.selector, self.timeouts, self.attend = (
             self.attempts.selector,
             self.attempts.timeouts,
-            self.attempts.attend,
+            self.attempts.schedule_check,
         )
-        self.spans: list[int] = []  # of each class, the longest time that a client has waited for at first
-        self.sequence = 0
-        self._adopt(io.Retune(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants)))
+        self.spans: list[int] = []  # of each class, the longest time from an arrival to its give_up
+        self.queue_sequence = 0
+        self._configure(io.Retune(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants)))
         self.handlers: dict[type, Callable[..., None]] = {
             io.Arrival: self.arrive,
-            io.Outcome: self._end,
-            io.Note: self.attempts.hear,
-            io.Timer: context.nothing,
-            io.WorkerList: DiscoveryEvents(context).listed,
-            io.ByHand: lambda event: context.fleet.by_hand(event, CAP_START, context.now),
-            io.ProbeResult: self.reports.probed,
+            io.Outcome: self._handle_outcome,
+            io.Note: self.attempts.handle_progress,
+            io.Timer: context.no_op,
+            io.WorkerList: DiscoveryEvents(context).handle_list,
+            io.ByHand: lambda event: context.fleet.by_hand(event, INITIAL_CAP_SLOTS, context.now),
+            io.ProbeResult: self.reports.handle_probe_result,
             io.Message: context.fleet.told,
-            io.Abandoned: self._abandon,
-            io.StreamStarted: self._stream,
-            io.Retune: self._adopt,
+            io.Abandoned: self._handle_abandoned,
+            io.StreamStarted: self._handle_stream_started,
+            io.Retune: self._configure,
             **handlers(self),
         }
 
     def handle(self, now: int, events: Sequence[io.Event]) -> list[io.Action]:
-        """What to do about ``events``, which all happened at ``now``."""
+        """Return the actions for ``events``, which all happened at ``now``."""
         context = self.context
-        context.now, context.actions, context.freed = now, [], []
+        context.now, context.actions, context.freed_workers = now, [], []
         for event in events:
             self.handlers[type(event)](event)
         context.timers.run(now)
-        self._release()
+        self._dispatch_waiting()
         if wake := context.timers.wake(now):
             context.actions.append(io.SetTimer(wake, wake))
         return context.actions
 
-    def _adopt(self, event: io.Retune) -> None:
-        """Settings for what comes from now on; what was learned of classes and tenants holds."""
+    def _configure(self, event: io.Retune) -> None:
+        """Apply new settings; what was learned of classes and tenants stays."""
         settings = event.settings
-        anew = all(was < 0 for was in event.classes)  # of such jobs nothing is known
-        self.context.adopt(settings, anew)
-        if anew:
-            self.timeouts.begin_anew()
-        self.tenants.adopt(settings, event.tenants)
-        self.reports.asks = settings.reports is io.Reports.PROBES and settings.may_probe
-        self.selector.adopt(settings)
+        all_new = all(old < 0 for old in event.classes)  # nothing is known of their jobs
+        self.context.configure(settings, all_new)
+        if all_new:
+            self.timeouts.reset()
+        self.tenants.configure(settings, event.tenants)
+        self.reports.uses_probes = settings.reports is io.Reports.PROBES and settings.may_probe
+        self.selector.configure(settings)
         self.fleet.retune(event.kinds)
         self.spans = [
-            min(self.spans[was], spec.deadline) if was >= 0 else 0
-            for was, spec in zip(event.classes, settings.classes, strict=True)
+            min(self.spans[old], spec.deadline) if old >= 0 else 0
+            for old, spec in zip(event.classes, settings.classes, strict=True)
         ]
 
     def arrive(self, event: io.Arrival, sent: Sequence[io.AttemptMemory] = ()) -> None:
-        """Takes a job in, with the attempts that it has had elsewhere."""
+        """Accept a job, with the attempts that other dispatchers have sent."""
         context, settings = self.context, self.context.settings
         spec = settings.classes[event.job_class]
         work = float(event.hint) if event.hint is not None else context.mean_work
-        work = min(work, HINT_MOST * spec.deadline or work)  # an absurd one must not distort the mean of all
+        # An absurd hint must not distort the mean.
+        work = min(work, MAX_HINT_DEADLINES * spec.deadline or work)
         cost = max(1.0, work * event.slots)
         rank = -spec.worth / (1.0 if settings.worth_by_work else cost)  # WSPT: worth for its work
-        # A repeat has less time left than a first try: that tells when its client began to wait.
+        # A client's retry has less time left than a first request: that shows when the client began to wait.
         left = event.give_up - context.now
-        span = self.spans[event.job_class] = max(self.spans[event.job_class], left)
+        max_left = self.spans[event.job_class] = max(self.spans[event.job_class], left)
         job = Job(
             event.request,
             spec,
             self.tenants.queue(event.tenant),
             event.key,
             event.give_up,
-            context.now - span + left,
+            context.now - max_left + left,
             work,
             event.slots,
             cost,
             rank,
             settings.try_limit,
         )
-        strict = spec.late_worth <= 0
-        job.hedged = strict and settings.tells_start and settings.may_copy and settings.may_cancel
-        job.bearable = float(spec.objective) if strict else math.inf
-        if over := left > 0.99 * span and not self.tenants.within(event.tenant, context.now):
+        worthless_late = spec.late_worth <= 0
+        job.hedged = worthless_late and settings.tells_start and settings.may_copy and settings.may_cancel
+        job.bearable = float(spec.objective) if worthless_late else math.inf
+        if over_share := left > 0.99 * max_left and not self.tenants.within_quota(event.tenant, context.now):
             job.rank *= settings.over_share_worth
-            job.bearable = min(1.0, OVER_YIELD * settings.over_share_worth) * spec.objective
+            job.bearable = min(1.0, OVER_SHARE_WAIT_FACTOR * settings.over_share_worth) * spec.objective
         self.jobs[job.id] = job
-        context.mean_work += (work - context.mean_work) * GAIN / 5
+        context.mean_work += (work - context.mean_work) * EWMA_WEIGHT / 5
         context.arrivals.add(1.0, context.now)
-        if event.key and context.heat.add(event.key):
+        if event.key and context.key_shares.add(event.key):
             self.fleet.renew()
         attach(self, job, sent)
-        if not sent and context.sheds(job, over, event):  # but not what a cold worker can begin at once
+        if not sent and context.should_shed(job, over_share, event):  # unless a cold worker can start it now
             job.spared, job.bearable, job.rank = True, 0.0, -math.inf
-        if job.spared and not self.selector.at_once(job):
-            self._conclude(job, io.GaveUp.OVERLOAD)
+        if job.spared and not self.selector.best_cold(job):
+            self._answer_unserved(job, io.GaveUp.OVERLOAD)
         elif not job.open:
             self.enqueue(job)
-        if self.reports.asks:
-            self.reports.earn(job)
+        if self.reports.uses_probes:
+            self.reports.probe_for(job)
 
     def enqueue(self, job: Job) -> None:
-        """Has it wait for a worker."""
+        """Queue the job until a worker is free, and schedule its expiry."""
         context = self.context
         job.waiting, job.queued = True, context.now
         last = job.give_up - context.settings.answer_grace
-        strict, told = job.spec.late_worth <= 0, context.settings.tells_start
-        pace = context.mean_pace() if (job.hedged if strict else told) else 1.0  # else it has queues in it
-        slack = job.spec.objective + (job.spec.stretch - pace) * job.work
-        # Some are always tried, or nobody would learn that what was slow is not slow any more.
-        in_time = job.came + int(max(slack, job.spec.objective * SIGN_LEAST))
-        self._place(job, not strict and in_time <= context.now)
-        if not strict:
-            context.after(in_time, self._place, job)
+        worthless_late, reported = job.spec.late_worth <= 0, context.settings.tells_start
+        # Without reported starts the measured slowdown includes the wait in queues.
+        slowdown = context.mean_slowdown() if (job.hedged if worthless_late else reported) else 1.0
+        slack = job.spec.objective + (job.spec.stretch - slowdown) * job.work
+        # Some jobs are always tried, or nothing would show that the fleet is fast again.
+        in_time = job.came + int(max(slack, job.spec.objective * MIN_RESPONSE_SHARE))
+        self._push(job, not worthless_late and in_time <= context.now)
+        if not worthless_late:
+            context.after(in_time, self._push, job)
         elif job.hedged or job.never_ran():
-            last = min(last, in_time)  # held longer, it would only take the place of one in time
+            last = min(last, in_time)  # later it would only take the slot of a job that is in time
         if last <= context.now:
             self._expire(job)
         else:
             context.after(last, self._expire, job)
 
-    def _place(self, job: Job, late: bool = True) -> None:
-        """Late ones stand by what they still earn, at equal worth behind all that can be in time."""
+    def _push(self, job: Job, late: bool = True) -> None:
+        """Push the job; a late one ranks by its late worth, at equal worth behind those in time."""
         if job.waiting:
-            self.sequence += 1
+            self.queue_sequence += 1
             rank, order = (job.rank * job.spec.late_worth, job.give_up) if late else (job.rank, job.came)
-            job.queue.push((rank, order, self.sequence, job))
+            job.queue.push((rank, order, self.queue_sequence, job))
 
     def _expire(self, job: Job) -> None:
-        """A held job is answered in time; one that waits at a worker would only make others late as well."""
+        """Answer an expired job in time; cancel one queued at a worker, as it would delay others."""
         if job.waiting:
             job.waiting = False
-            self._conclude(job, io.GaveUp.OUT_OF_TIME)
+            self._answer_unserved(job, io.GaveUp.OUT_OF_TIME)
         elif job.hedged and not job.answered and not any(attempt.begun for attempt in job.attempts):
-            self.attempts.call_off(job)
+            self.attempts.cancel_attempts(job)
 
-    def _conclude(self, job: Job, why: io.GaveUp) -> None:
-        """The final answer of a job that will not be served: a refusal only where nothing can have run."""
+    def _answer_unserved(self, job: Job, reason: io.GaveUp) -> None:
+        """Answer a job that will not be served: refuse it if a retry is harmless, else fail it."""
         if job.answered or job.open:
             return
         job.answered = True
         del self.jobs[job.id]
         if job.harmless():
-            self.context.actions.append(io.Refuse(job.id, self.context.away(job), why))
+            self.context.actions.append(io.Refuse(job.id, self.context.retry_after_us(job), reason))
         else:
-            self.context.actions.append(io.Fail(job.id, why))
+            self.context.actions.append(io.Fail(job.id, reason))
 
-    def _abandon(self, event: io.Abandoned) -> None:
+    def _handle_abandoned(self, event: io.Abandoned) -> None:
         if (job := self.jobs.get(event.request)) and not job.answered:
             self._finish(job)
 
     def _finish(self, job: Job) -> None:
-        """The request has its final answer: what is still out is called off, nothing more is sent."""
+        """Close a job that has its final answer: cancel its open attempts and send no more."""
         job.answered, job.waiting = True, False
-        self.attempts.call_off(job)
+        self.attempts.cancel_attempts(job)
         if not job.open:
             self.jobs.pop(job.id, None)
 
-    def _stream(self, event: io.StreamStarted) -> None:
-        if (attempt := self.context.attempt(event)) is not None:
+    def _handle_stream_started(self, event: io.StreamStarted) -> None:
+        if (attempt := self.context.find_attempt(event)) is not None:
             attempt.job.streaming = True
-            self.ejector.heard(attempt.worker)
+            self.ejector.mark_responsive(attempt.worker)
 
-    def _release(self) -> None:
+    def _dispatch_waiting(self) -> None:
         ring = self.tenants.ring
         while (queue := ring.select(self._dispatchable)) is not None:
             job = ring.charge(queue)
             if job.choice:
                 self.attempts.send(job, job.choice)
-            else:  # no eligible worker: it proceeds, to fail
-                self._conclude(job, io.GaveUp.NO_WORKER)
+            else:  # no eligible worker
+                self._answer_unserved(job, io.GaveUp.NO_WORKER)
         put_back(ring.queues)
 
     def _dispatchable(self, job: Job) -> bool:
-        """Unless every eligible worker is busy; a blocked head looks again when one frees up."""
+        """Whether the job can leave its queue; False if every eligible worker is busy.
+
+        A blocked head is checked against freed workers only, until its next full selection is due.
+        """
         context = self.context
-        known = context.now < job.look_at and job.list_seen == context.fleet.version
-        if known and not (job.key and context.freed):  # one of them may be the key's home
+        blocked = context.now < job.look_at and job.list_seen == context.fleet.version
+        if blocked and not (job.key and context.freed_workers):  # one may be a home of the key
             estimate = self.selector.estimate
-            job.choice = next((worker for worker in context.freed if estimate(worker, job) is not None), None)
+            job.choice = next(
+                (worker for worker in context.freed_workers if estimate(worker, job) is not None), None
+            )
             return job.choice is not None or job.queue.pass_over(job)
         job.choice = self.selector.best(job, pool := self.selector.eligible(job))
         if job.choice or not pool or job.spared:
@@ -214,28 +223,28 @@
         )
         job.list_seen = context.fleet.version
         job.look_at = context.now + max(4000, min(job.spec.objective // 8, 200_000))
-        context.after(job.look_at, context.nothing)
-        self.reports.ask(job)
+        context.after(job.look_at, context.no_op)
+        self.reports.send_probes(job)
         return job.queue.pass_over(job)
 
-    def _end(self, event: io.Outcome) -> None:
-        if not (attempt := self.context.attempt(event)) or not attempt.open:
+    def _handle_outcome(self, event: io.Outcome) -> None:
+        if not (attempt := self.context.find_attempt(event)) or not attempt.open:
             return
         job = attempt.job
-        self.attempts.end(attempt, event)
+        self.attempts.handle_outcome(attempt, event)
         if not job.answered and event.finished:
             self._finish(job)
         elif not job.open and job.answered:
             self.jobs.pop(job.id, None)
         elif not (job.open or job.streaming or job.waiting):
-            self._retry(job, attempt)
+            self._retry_or_answer(job, attempt)
 
-    def _retry(self, job: Job, attempt: Attempt) -> None:
-        """Back to its heap where another try is allowed; else the final answer."""
+    def _retry_or_answer(self, job: Job, attempt: Attempt) -> None:
+        """Queue the job again if a retry is allowed, else give the final answer."""
         settings = self.context.settings
         spent = job.spent(settings.try_limit) or self.context.now >= job.give_up - settings.answer_grace
         if spent or (job.spec.effect is io.Effect.UNSAFE and not job.never_ran()):
-            self._conclude(job, io.GaveUp.NO_RETRY)
+            self._answer_unserved(job, io.GaveUp.NO_RETRY)
         else:
-            job.queue.deficit += 0.0 if attempt.may_have_run else job.cost  # as if it had never left the heap
+            job.queue.deficit += 0.0 if attempt.may_have_run else job.cost  # the cost is refunded
             self.enqueue(job)
--- a/carthinge/policy/load_reports.py
+++ b/carthinge/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: free slots that workers tell of, with their answers or asked by probes."""
+"""Load reports: free slots that workers report with results or in answer to probes."""
 
 from collections import deque
 from typing import Final
@@ -7,20 +7,20 @@
 from carthinge.dispatch_context import DispatchContext
 from carthinge.records import Job, Worker
 
-SAMPLE: Final = 16  # workers looked at for a pick: near the best of all, at a cost that does not grow
-PROBE_SPEND: Final = 0.008  # points of service spent on probes for each job
+SAMPLE_SIZE: Final = 16  # workers examined for a job: near the optimum, at a cost independent of fleet size
+PROBE_COST_PER_JOB: Final = 0.008  # points of service
 
 
 class LoadReports:
-    """Free slots that workers tell of, with their answers or asked by probes."""
+    """Applies load reports and sends probes for them within a budget."""
 
     def __init__(self, context: DispatchContext) -> None:
-        self.context, self.asks = context, False
-        self.latest: deque[Worker] = deque(maxlen=SAMPLE // 2)
-        self._probes = 0.0  # that may be sent
+        self.context, self.uses_probes = context, False
+        self.recent_workers: deque[Worker] = deque(maxlen=SAMPLE_SIZE // 2)
+        self._probe_budget = 0.0  # probes that may be sent
 
-    def take(self, worker: Worker, report: tuple[float, ...]) -> None:
-        """Take a report that came with an answer."""
+    def handle_report(self, worker: Worker, report: tuple[float, ...]) -> None:
+        """Apply a load report of a worker."""
         settings = self.context.settings
         values = dict(zip(settings.report_fields, report, strict=False))
         if "free_slots" not in values:
@@ -31,30 +31,30 @@
             worker.pool, round(free + held), rated=settings.weights in (io.Weights.NOMINAL, io.Weights.ROUGH)
         )
         worker.free = round(free)
-        if worker.free_at < 0 or worker not in self.latest:
-            self.latest.append(worker)
+        if worker.free_at < 0 or worker not in self.recent_workers:
+            self.recent_workers.append(worker)
         worker.free_at = self.context.now
 
-    def earn(self, job: Job) -> None:
-        """Each job brings its part of what probes may cost, and spends of it."""
-        brought = PROBE_SPEND / max(self.context.settings.price_probe, 1e-4)
-        self._probes = min(self._probes + brought, 3 * SAMPLE)
-        self.ask(job)
+    def probe_for(self, job: Job) -> None:
+        """Add a new job's part to the probe budget and send probes for it."""
+        earned = PROBE_COST_PER_JOB / max(self.context.settings.price_probe, 1e-4)
+        self._probe_budget = min(self._probe_budget + earned, 3 * SAMPLE_SIZE)
+        self.send_probes(job)
 
-    def ask(self, job: Job) -> None:
-        """A few workers are asked before a pick; more while a head stays blocked, within the spending."""
+    def send_probes(self, job: Job) -> None:
+        """Probe a few workers before a job is sent, and more while it stays blocked, within the budget."""
         pool = self.context.fleet.pool(job.spec.kind)
-        for _ in range(min(4, int(self._probes), len(pool))):
+        for _ in range(min(4, int(self._probe_budget), len(pool))):
             worker = pool[int(self.context.rng.random() * len(pool))]
             if worker.avoid_until <= self.context.now:
-                self._probes -= 1
+                self._probe_budget -= 1
                 self.context.actions.append(io.Probe(worker.id))
 
-    def probed(self, event: io.ProbeResult) -> None:
-        """Take the result of a probe."""
+    def handle_probe_result(self, event: io.ProbeResult) -> None:
+        """Apply the report of a probe; avoid the worker for a while if the probe failed."""
         worker = self.context.fleet.workers.get(event.worker)
         if worker and event.result is not io.Result.OK:
             worker.avoid(self.context.now + int(self.context.mean_work))
         elif worker and event.report:
-            self.take(worker, event.report)
-            self.context.freed.append(worker)
+            self.handle_report(worker, event.report)
+            self.context.freed_workers.append(worker)
--- a/carthinge/policy/outlier_ejection.py
+++ b/carthinge/policy/outlier_ejection.py
@@ -1,7 +1,4 @@
-"""Outlier ejection: workers that fail or are silent are left alone for a while.
-
-Each pause is longer than the one before, until the worker gives a sign of life.  Times are microseconds.
-"""
+"""Outlier ejection: workers that fail or are silent get no jobs for a while.  Times are microseconds."""
 
 from typing import Final
 
@@ -10,52 +7,52 @@
 from carthinge.fleet import probe_backoff
 from carthinge.records import Worker
 
-DOUBT_LIMIT: Final = 0.4  # of the fleet: if more is silent, it is not the workers that are ill
-ERRORS_ILL: Final = 2  # in a row: a worker that fails all at once is always free, and would be picked again
+MAX_SUSPECTED_SHARE: Final = 0.4  # of the fleet: if more are suspected, the cause is not the workers
+UNHEALTHY_ERRORS: Final = 2  # in a row; a worker that fails every job at once is always free
 
 
 class OutlierEjector:
-    """Each pause is longer than the one before, until there is a sign that the worker is well."""
+    """Ejects unhealthy workers, each time for longer, until they respond again."""
 
     def __init__(self, context: DispatchContext) -> None:
         self.context = context
 
-    def heard(self, worker: Worker) -> None:
-        """A sign of life: an answer, a start or progress; not a report, which a hung worker sends too."""
+    def mark_responsive(self, worker: Worker) -> None:
+        """Record a result, start or progress report; not a load report, which a hung worker sends too."""
         worker.heard_at = self.context.now
         if worker.strikes:
             worker.strikes = worker.avoid_until = 0
 
-    def failed(self, worker: Worker, result: io.Result) -> None:
-        """An attempt ended there as it should not; a full worker is left alone until a slot may be free."""
+    def record_failure(self, worker: Worker, result: io.Result) -> None:
+        """Record a failed attempt; a full worker is avoided until a slot may be free."""
         context = self.context
         if result is io.Result.FULL:
-            pause = context.mean_work * context.pace(worker) / max(1.0, worker.pool.slots)
+            pause = context.mean_work * context.slowdown(worker) / max(1.0, worker.pool.slots)
             pause = min(pause * 2**worker.refusals, max(pause, context.settings.cold_time))
             worker.refusals += 1
             worker.avoid(context.now + int(pause * context.rng.uniform(0.5, 1.5)))
             worker.free_at = -1
         elif result is io.Result.ERROR:
-            # Left alone though it tells of starts, unless much of the fleet errs: then it is the jobs.
+            # Starts do not clear errors; if much of the fleet fails, the cause is the jobs.
             worker.errors += 1
             pool = context.fleet.pool(-1)
-            ill = sum(1 for other in pool if other.errors >= ERRORS_ILL and other is not worker)
-            if worker.errors >= ERRORS_ILL and ill < max(1.0, DOUBT_LIMIT * len(pool)):
-                worker.avoid(context.now + self._pause(worker.errors - ERRORS_ILL))
+            unhealthy = sum(1 for other in pool if other.errors >= UNHEALTHY_ERRORS and other is not worker)
+            if worker.errors >= UNHEALTHY_ERRORS and unhealthy < max(1.0, MAX_SUSPECTED_SHARE * len(pool)):
+                worker.avoid(context.now + self._ejection_time(worker.errors - UNHEALTHY_ERRORS))
         else:
-            self.doubt(worker, result is io.Result.CONNECT_FAILED)
+            self.suspect(worker, result is io.Result.CONNECT_FAILED)
 
-    def doubt(self, worker: Worker, certain: bool = False) -> None:
-        """A strike, unless the whole fleet looks ill; each of those that are certainly dead gets one."""
+    def suspect(self, worker: Worker, certain: bool = False) -> None:
+        """Add a strike and eject the worker, unless much of the fleet is suspected; always if ``certain``."""
         pool = self.context.fleet.pool(-1)
-        doubted = 0 if certain else sum(1 for other in pool if other.strikes)
-        if worker.strikes or doubted < max(1.0, DOUBT_LIMIT * len(pool)):
+        suspected = 0 if certain else sum(1 for other in pool if other.strikes)
+        if worker.strikes or suspected < max(1.0, MAX_SUSPECTED_SHARE * len(pool)):
             worker.strikes += 1
-            factor = probe_backoff.factor(self.context.sharers()) if certain else 1.0
-            worker.avoid_until = self.context.now + int(self._pause(worker.strikes - 1) * factor)
+            factor = probe_backoff.factor(self.context.schedulers_per_worker()) if certain else 1.0
+            worker.avoid_until = self.context.now + int(self._ejection_time(worker.strikes - 1) * factor)
 
-    def _pause(self, times: int) -> int:
-        """How long to leave a worker alone after so many earlier times."""
-        base = 4 * self.context.shortest()
-        pause = min(base * 2.0 ** min(times, 16), max(base, self.context.settings.cold_time))
+    def _ejection_time(self, earlier: int) -> int:
+        """Return the exponential back-off after so many earlier ejections, with jitter."""
+        base = 4 * self.context.min_objective()
+        pause = min(base * 2.0 ** min(earlier, 16), max(base, self.context.settings.cold_time))
         return int(pause * self.context.rng.uniform(0.75, 1.25))
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,10 +1,10 @@
-"""Deficit round robin: each clause of the paper, with its worked examples."""
+"""Deficit round robin: each clause of the paper and its worked examples."""
 
 from dataclasses import dataclass
 
 import pytest
 
-from carthinge.policy.fair_queueing import DeficitRing
+from carthinge.policy.fair_queueing import DeficitRoundRobin
 
 
 @dataclass
@@ -16,7 +16,7 @@
 
 
 def ring_of(*quanta):
-    return DeficitRing(quanta)
+    return DeficitRoundRobin(quanta)
 
 
 def fill(ring, index, *costs, blocked=False):
@@ -54,7 +54,7 @@
     assert ring.queues[1].deficit == 1000
 
 
-def test_covered_head_leaves_without_new_credit():
+def test_covered_head_needs_no_new_credit():
     ring = ring_of(10)
     fill(ring, 0, 4, 4)
     ring.queues[0].deficit = 5
@@ -62,7 +62,7 @@
     assert ring.queues[0].deficit == 1
 
 
-def test_blocked_head_keeps_but_does_not_earn():
+def test_blocked_queue_keeps_but_earns_no_credit():
     ring = ring_of(10, 10)
     fill(ring, 0, 5, blocked=True)
     ring.queues[0].deficit = 3
@@ -79,7 +79,7 @@
     assert [q.deficit for q in ring.queues] == [0, 0]
 
 
-def test_empty_class_resets_and_cursor_advances():
+def test_empty_queue_resets_and_cursor_advances():
     ring = ring_of(10, 10)
     fill(ring, 0, 4)
     assert take(ring) == (0, 4)
@@ -89,7 +89,7 @@
     assert ring.queues[1].deficit == 0
 
 
-def test_cursor_stays_while_the_next_head_is_affordable():
+def test_cursor_stays_while_next_head_covered():
     ring = ring_of(10, 10)
     fill(ring, 0, 4, 4, 4)
     fill(ring, 1, 4)
@@ -107,24 +107,24 @@
     assert take(ring) == (1, 4)
 
 
-def test_only_the_head_is_looked_at():
+def test_only_the_head_is_considered():
     ring = ring_of(10)
     fill(ring, 0, 4, blocked=True)
     fill(ring, 0, 4)
     assert take(ring) is None
 
 
-def test_arbitration_does_not_loop_by_cost():
+def test_selection_time_is_independent_of_cost():
     ring = ring_of(1, 1, 1)
     for index in range(3):
         fill(ring, index, 10**12)
-    looks = []
-    ring.select(lambda item: not looks.append(item))
-    assert len(looks) == 3
+    considered = []
+    ring.select(lambda item: not considered.append(item))
+    assert len(considered) == 3
 
 
 @pytest.mark.parametrize("quanta", [(1, 2, 5), (7, 7), (1, 100)])
-def test_long_run_service_follows_quanta_within_one_cost(quanta):
+def test_long_run_service_follows_quanta(quanta):
     ring = ring_of(*quanta)
     served = [0.0] * len(quanta)
     costs = [3, 11, 1, 40, 7]
@@ -133,5 +133,5 @@
     for _ in range(6000):
         index, cost = take(ring)
         served[index] += cost
-    lines = [work / quantum for work, quantum in zip(served, quanta, strict=True)]
-    assert max(lines) - min(lines) <= 2 * max(costs) / min(quanta) + 1
+    rounds = [work / quantum for work, quantum in zip(served, quanta, strict=True)]
+    assert max(rounds) - min(rounds) <= 2 * max(costs) / min(quanta) + 1
