--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,7 +1,7 @@
-"""Cold workers and all schedulers together: the budget binds over the sum of what all of them send.
+"""Slow start over all schedulers: the budget limits the sum of what they send to a cold worker.
 
-N calls, and 2 x root of N + 2 (under 30 calls 3 x root of N + 3), N being what the settings allow a worker of
-its present capacity in a window of theirs, wherever that window lies.
+The limit is N + 2 * sqrt(N) + 2 calls (N + 3 * sqrt(N) + 3 below 30 calls) in any window, where N is what the
+settings allow a worker of its present capacity.
 """
 
 import math
@@ -16,92 +16,94 @@
 from carthinge import Dispatcher
 from carthinge import interface as io
 
-WORK = 50_000  # microseconds of a mean job on a warm worker's slot
+WORK_US = 50_000  # of a mean job on a warm worker's slot
 SLOTS = 2
 WARM, COLD = 5, 3  # workers of each sort
-JOINED = 20_000_000  # when the cold ones start
-ENDS = JOINED + 6_000_000
-LEARNED = 4_000_000  # for so long the schedulers that know something have served before
+JOINED_US = 20_000_000  # when the cold workers start
+ENDS_US = JOINED_US + 6_000_000
+LEARNING_TIME_US = 4_000_000  # how long the known schedulers have served before
 
 
-class FleetInVirtualTime:
-    """Many gateways and a few workers that serve in order; every gateway is called only when it has news."""
+class SimulatedFleet:
+    """Many schedulers and a few first-come-first-served workers, driven by events in virtual time."""
 
     def __init__(self, config, known, restarted, seed):
-        """``known`` gateways have served warm workers before, ``restarted`` ones begin with the cold ones."""
+        """``known`` schedulers have served warm workers, ``restarted`` ones start with the cold workers."""
         self.config, self.rng, self.seed = config, Random(seed), seed
-        self.agenda, self.count = [], 0
-        self.gateways = {}
+        self.events, self.count = [], 0
+        self.dispatchers = {}
         self.free_at = {worker: [0] * SLOTS for worker in range(1, WARM + COLD + 1)}
         self.sent = {worker: [] for worker in self.free_at}
         self.numbers = 0
         for position in range(known):
-            self.begin(position, JOINED - LEARNED - 1)
+            self.add_scheduler(position, JOINED_US - LEARNING_TIME_US - 1)
         for position in range(known, known + restarted):
-            self.begin(position, JOINED + 1000)
+            self.add_scheduler(position, JOINED_US + 1000)
 
-    def begin(self, position, at):
+    def add_scheduler(self, position, at):
         warm = [io.WorkerEntry(worker) for worker in range(1, WARM + 1)]
-        cold = self.cold() if at >= JOINED else []
-        self.at(at, position, listing(*warm, *cold))
-        if at < JOINED:
-            told = JOINED + self.rng.randrange(500_000)
-            self.at(told, position, listing(*self.cold(), kind=io.Listing.CHANGES))
-        self.at(at, position, None)
+        cold = self.cold_entries() if at >= JOINED_US else []
+        self.schedule(at, position, listing(*warm, *cold))
+        if at < JOINED_US:
+            listed = JOINED_US + self.rng.randrange(500_000)
+            self.schedule(listed, position, listing(*self.cold_entries(), kind=io.Listing.CHANGES))
+        self.schedule(at, position, None)
 
-    def cold(self):
-        return [io.WorkerEntry(worker, started=JOINED) for worker in range(WARM + 1, WARM + COLD + 1)]
+    def cold_entries(self):
+        return [io.WorkerEntry(worker, started=JOINED_US) for worker in range(WARM + 1, WARM + COLD + 1)]
 
-    def at(self, time, position, event):
+    def schedule(self, time, position, event):
         self.count += 1
-        heappush(self.agenda, (time, self.count, position, event))
+        heappush(self.events, (time, self.count, position, event))
 
-    def warmth(self, worker, now):
+    def capacity_share(self, worker, now):
         if worker <= WARM:
             return 1.0
         share = self.config.cold_start_share
-        return min(1.0, share + (1 - share) * (now - JOINED) / self.config.cold_time)
+        return min(1.0, share + (1 - share) * (now - JOINED_US) / self.config.cold_time)
 
     def run(self, per_s):
-        """``per_s``: jobs a second at all gateways together."""
-        gap = self.config.instances / per_s * 1e6
-        while self.agenda and self.agenda[0][0] < ENDS:
-            now, _, position, event = heappop(self.agenda)
-            gateway = self.gateways.get(position)
-            if gateway is None:
+        """Run until ENDS_US with ``per_s`` jobs per second at all schedulers together."""
+        interval = self.config.instances / per_s * 1e6
+        while self.events and self.events[0][0] < ENDS_US:
+            now, _, position, event = heappop(self.events)
+            dispatcher = self.dispatchers.get(position)
+            if dispatcher is None:
                 config = replace(self.config, position=position)
-                gateway = self.gateways[position] = Dispatcher(config, self.seed * 1000 + position)
+                dispatcher = self.dispatchers[position] = Dispatcher(config, self.seed * 1000 + position)
             if event is None:  # the next job
                 self.numbers += 1
                 job_class = self.numbers % len(self.config.classes)
-                hint = int(WORK * self.rng.uniform(0.5, 1.5))
+                hint = int(WORK_US * self.rng.uniform(0.5, 1.5))
                 event = io.Arrival(self.numbers, job_class, now + 5_000_000, hint=hint)
-                self.at(now + int(self.rng.expovariate(1 / gap)) + 1, position, None)
-            for action in gateway.handle(now, [event]):
-                self.carry_out(now, position, gateway, action)
+                self.schedule(now + int(self.rng.expovariate(1 / interval)) + 1, position, None)
+            for action in dispatcher.handle(now, [event]):
+                self.execute(now, position, dispatcher, action)
 
-    def carry_out(self, now, position, gateway, action):
+    def execute(self, now, position, dispatcher, action):
         if isinstance(action, io.SetTimer):
-            self.at(action.due, position, io.Timer(action.token))
+            self.schedule(action.due, position, io.Timer(action.token))
         elif isinstance(action, io.Send):
             worker = action.worker
             self.sent[worker].append(now)
             slots = self.free_at[worker]
             first = min(range(SLOTS), key=slots.__getitem__)
             begins = max(now, slots[first])
-            ends = begins + int(gateway.jobs[action.request].work / self.warmth(worker, begins))
+            ends = begins + int(dispatcher.jobs[action.request].work / self.capacity_share(worker, begins))
             slots[first] = ends
-            number = len(gateway.jobs[action.request].attempts) - 1
-            self.at(begins + 500, position, io.Note(action.request, number, worker, begun=True))
-            self.at(ends + 500, position, outcome(action.request, number, worker, io.Result.OK, ends - now))
-
-    def most_over(self, worker):
-        """By how many calls the fullest window is over its budget, at the least."""
+            number = len(dispatcher.jobs[action.request].attempts) - 1
+            self.schedule(begins + 500, position, io.Note(action.request, number, worker, begun=True))
+            self.schedule(
+                ends + 500, position, outcome(action.request, number, worker, io.Result.OK, ends - now)
+            )
+
+    def max_excess(self, worker):
+        """Return the calls above the budget in the fullest window; below 0 if none is over."""
         sends, window = self.sent[worker], self.config.fall_window
         over = -math.inf
         for at, begins in enumerate(sends):
             calls = bisect_left(sends, begins + window) - at
-            capacity = SLOTS * self.warmth(worker, begins) / WORK
+            capacity = SLOTS * self.capacity_share(worker, begins) / WORK_US
             allowed = self.config.fall_multiple * capacity * window
             slack = 2 * math.sqrt(allowed) + 2 if allowed >= 30 else 3 * math.sqrt(allowed) + 3
             over = max(over, calls - allowed - slack)
@@ -110,7 +112,7 @@
 
 @pytest.mark.parametrize("fall_multiple", [3.0, 4.0])
 @pytest.mark.parametrize(("known", "restarted"), [(1, 0), (0, 1), (20, 10), (0, 30), (150, 50), (0, 200)])
-def test_the_sum_of_all_schedulers_stays_below_a_cold_worker_s_budget(known, restarted, fall_multiple):
+def test_cold_worker_budget_holds_for_all_schedulers(known, restarted, fall_multiple):
     for seed in range(3):
         config = settings(
             SAFE,
@@ -121,15 +123,15 @@
             cold_start_share=0.25,
             tells_start=True,
         )
-        fleet = FleetInVirtualTime(config, known, restarted, seed)
-        fleet.run(per_s=1.1 * SLOTS * WARM / WORK * 1e6)  # more than the warm ones can do
+        fleet = SimulatedFleet(config, known, restarted, seed)
+        fleet.run(per_s=1.1 * SLOTS * WARM / WORK_US * 1e6)  # above the capacity of the warm workers
         for worker in range(WARM + 1, WARM + COLD + 1):
-            assert fleet.sent[worker], f"seed {seed}: worker {worker} got nothing at all"
-            assert fleet.most_over(worker) <= 0, f"seed {seed}: worker {worker} was pushed over"
+            assert fleet.sent[worker], f"seed {seed}: worker {worker} got no jobs"
+            assert fleet.max_excess(worker) <= 0, f"seed {seed}: worker {worker} was overloaded"
 
 
-def test_a_window_that_is_over_its_budget_is_found():
-    """The check itself: as many as a warm worker can do, all to a cold one, are too many."""
-    fleet = FleetInVirtualTime(settings(fall_window=1_000_000, cold_start_share=0.25), 1, 0, 1)
-    fleet.sent[WARM + 1] = [JOINED + step * 5_000 for step in range(200)]
-    assert fleet.most_over(WARM + 1) > 0
+def test_check_detects_window_over_budget():
+    """Checks the check: the load of a warm worker is too much for a cold one."""
+    fleet = SimulatedFleet(settings(fall_window=1_000_000, cold_start_share=0.25), 1, 0, 1)
+    fleet.sent[WARM + 1] = [JOINED_US + step * 5_000 for step in range(200)]
+    assert fleet.max_excess(WARM + 1) > 0
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -1,4 +1,4 @@
-"""Spans and figures that follow the settings: right where these are ten times smaller or larger, too."""
+"""Timeouts and values derived from the settings, also with settings ten times smaller or larger."""
 
 import json
 import time
@@ -23,31 +23,31 @@
     return site(services=[{**spec, "hard_limit": deadline} for spec in SETTINGS["services"]])
 
 
-@pytest.mark.parametrize(("patience", "margin"), [(100 * MS, 5 * MS), (25_000 * MS, 10 * MS)])
-def test_a_short_patience_is_not_eaten_up_by_the_margin_for_the_answer(serve, patience, margin):
+@pytest.mark.parametrize(("timeout", "margin"), [(100 * MS, 5 * MS), (25_000 * MS, 10 * MS)])
+def test_answer_margin_scales_with_client_timeout(serve, timeout, margin):
     program = serve()
-    tracked = program.tracker.take(Job("a1", b"/api", b""), Terms(0, "query", 0, "acme", patience), None)
-    assert program.loop.now + patience - tracked.give_up == margin
+    tracked = program.tracker.take(Job("a1", b"/api", b""), Terms(0, "query", 0, "acme", timeout), None)
+    assert program.loop.now + timeout - tracked.give_up == margin
 
 
-def test_a_drain_leaves_time_for_answers_where_all_deadlines_are_short(serve):
+def test_drain_with_short_deadlines_leaves_answer_time(serve):
     program = serve(settings=short(200_000))
     program._drain()
     drain = program.frontend.draining
-    assert drain.arriving_until < drain.answered_by < program.loop.now + 900 * MS  # when SIGKILL may come
+    assert drain.arriving_until < drain.answered_by < program.loop.now + 900 * MS  # SIGKILL may follow then
 
 
-def test_a_withdrawal_is_on_its_way_for_as_long_as_the_network_may_take(tmp_path):
+def test_withdrawal_waits_for_dial_timeout(tmp_path):
     with World(tmp_path, workers=2, settings=site({"dial_timeout": 2_500_000})) as world:
         world.submit("a1")
         _, peer, _ = world.take()
         peer.answer(202)
-        assert peer.read()[0].startswith("DELETE")  # and no answer to it comes
+        assert peer.read()[0].startswith("DELETE")  # which is not answered
         since = time.monotonic()
         assert world.take()[2][0].startswith("POST") and time.monotonic() - since > 0.5
 
 
-def test_on_a_fast_network_a_late_202_is_not_waited_for_as_on_a_slow_one(tmp_path):
+def test_fast_network_shortens_wait_for_202(tmp_path):
     with World(tmp_path, settings=site({"dial_timeout": 25_000})) as world:
         world.submit("a1")
         number, peer, _ = world.take()
@@ -56,19 +56,19 @@
         assert peer.ended() and time.monotonic() - since < 1.5
 
 
-def test_a_durable_job_whose_client_is_hasty_is_shed_before_that_leaves(tmp_path):
+def test_durable_job_shed_before_client_timeout(tmp_path):
     with World(tmp_path, workers=2, file=FILE) as world:
         stuck = locked(world)
-        put(world, "a0", prefer=None)  # one with more time does not make it wait
+        put(world, "a0", prefer=None)  # a job with a later deadline does not delay it
         began = time.monotonic()
         first, _, _ = world.submit("a1", kind="reindex", deadline="400m", Prefer="respond-async").read()
         assert first.split()[1] == "503" and time.monotonic() - began < 0.4
         stuck.rollback()
 
 
-@pytest.mark.parametrize(("advises", "most"), [(True, 2_000 * MS), (False, timedelta())])
-def test_clients_are_told_to_stay_away_only_where_the_settings_let_them(advises, most):
-    assert read_site(Facts.from_nested(site({"retry_after": advises}))).max_retry_after == most
+@pytest.mark.parametrize(("advises", "limit"), [(True, 2_000 * MS), (False, timedelta())])
+def test_retry_after_only_where_settings_allow(advises, limit):
+    assert read_site(Facts.from_nested(site({"retry_after": advises}))).max_retry_after == limit
 
 
 # ---- load reports and probes --------------------------------------------------------------------
@@ -87,12 +87,12 @@
         (b'{"x0"', ()),
     ],
 )
-def test_the_free_slots_of_a_report_count_whatever_else_is_in_it(serve, raw, report):
+def test_free_slots_read_from_any_report(serve, raw, report):
     program = serve(settings=site(load_info={"how": "inline", "fields": ["queue", "x0"]}))
     assert program.worker_client.report(read_load(raw)) == report
 
 
-def test_a_call_back_counts_though_its_report_has_gaps(tmp_path):
+def test_callback_accepted_with_partial_report(tmp_path):
     with World(tmp_path) as world:
         client = world.submit("a1")
         number, peer, _ = world.take()
@@ -105,8 +105,8 @@
 
 
 @pytest.mark.parametrize("free", [4.0, None])
-def test_a_probe_is_carried_out_and_its_answer_or_silence_decides(tmp_path, free):
-    """Nobody did: where probes were wanted the program ended with the first job."""
+def test_probe_sent_and_decides_by_result(tmp_path, free):
+    """Nothing carried the probe out: with probing enabled the program ended at the first job."""
     with World(tmp_path, settings=site({"probing": True, "peers": True}, **PROBED)) as world:
         world.submit("a1")
         _, peer, (line, _, _) = world.take()
@@ -117,11 +117,11 @@
             pass
 
 
-# ---- two attempts out ---------------------------------------------------------------------------
+# ---- two open attempts --------------------------------------------------------------------------
 
 
-def copied(world):
-    """A job that the first worker is silent about and the second has got a copy of."""
+def submit_hedged(world):
+    """Submit a job; the first worker stays silent, and the second gets a copy."""
     client = world.submit("a1")
     first, peer, _ = world.take()
     peer.answer(202)
@@ -130,10 +130,10 @@
     return client, first, second, peer
 
 
-def test_the_result_of_a_second_copy_is_the_job_s_and_the_first_is_withdrawn(tmp_path):
-    """What the copy's worker told was held against the first attempt, and dropped as stale."""
+def test_hedge_result_wins_and_first_is_withdrawn(tmp_path):
+    """The callback of the copy's worker was matched to the first attempt and dropped as stale."""
     with World(tmp_path, workers=2, settings=site({"second_copies": True})) as world:
-        client, first, second, peer = copied(world)
+        client, first, second, peer = submit_hedged(world)
         peer.answer(202)
         assert world.tell("a1", "done", second, result="of the copy") == 204
         assert client.read()[2] == b"of the copy"
@@ -141,12 +141,12 @@
         assert (at, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
 
 
-def test_a_job_moves_to_the_next_process_only_once_all_its_attempts_are_at_rest(tmp_path):
+def test_handover_waits_for_all_attempts(tmp_path):
     settings = site({"second_copies": True, "try_limit": 2})
     with World(tmp_path, workers=2, settings=settings, held=True) as world:
-        client, first, second, peer = copied(world)
+        client, first, second, peer = submit_hedged(world)
         world.upgrade()
-        peer.answer(503, Srv_Declined="1")  # which only the process that has sent it hears
+        peer.answer(503, Srv_Declined="1")  # only the process that has sent it receives this
         since = time.monotonic()
         assert world.tell("a1", "failed", first) == 204
-        assert client.status() == 503 and time.monotonic() - since < 2  # all tries are over
+        assert client.status() == 503 and time.monotonic() - since < 2  # no attempt is left
