--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -29,9 +29,9 @@
         "_mean_capacity_share",
         "_warm_worker_count",
         "actions",
-        "after",
         "arrivals",
         "budget",
+        "call_at",
         "carried",
         "fleet",
         "freed_workers",
@@ -65,7 +65,7 @@
         )
         self.freed_workers: list[Worker] = []  # a slot may have been freed in this call
         self.timers = Timers()
-        self.after = self.timers.add
+        self.call_at = self.timers.add
         self.mean_work = float(self.min_objective())
         self.served, self.arrivals = Rate(), Rate()
         self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
@@ -209,7 +209,7 @@
         limit = settings.max_retry_after * settings.may_advise
         return retry_after.stay_away(room, job.spec.objective, limit, point)
 
-    def watch(self) -> None:
+    def request_watch(self) -> None:
         """Request a watch on discovery."""
         self.actions.append(io.Watch())
 
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -38,13 +38,13 @@
         self.schedule_check(attempt)
         context.level.waiting += 1
         if context.settings.tells_start:
-            context.after(
+            context.call_at(
                 context.now + int(HEDGE_DELAY_FACTOR * self.timeouts.prompt), self._hedge_if_queued, attempt
             )
 
     def schedule_check(self, attempt: Attempt) -> None:
         """Check the attempt for silence once its timeout has passed."""
-        self.context.after(self.context.now + self.timeouts.timeout(attempt), self._check_silence, attempt)
+        self.context.call_at(self.context.now + self.timeouts.timeout(attempt), self._check_silence, attempt)
 
     def cancel_attempts(self, job: Job, kept: Attempt | None = None) -> None:
         """Cancel the open attempts of a job, except ``kept``."""
@@ -130,7 +130,7 @@
         # Responses about other attempts at the worker count, until this one's next progress report is due.
         if due > self.context.now:
             if attempt.open:
-                self.context.after(due, self._check_silence, attempt)
+                self.context.call_at(due, self._check_silence, attempt)
             return
         self.ejector.suspect(worker)
         if settings.may_copy:
--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -34,7 +34,7 @@
                 1.0, WATCH_RETRY_SHARE * 2**self._failures
             )
             delay = min(delay, max_delay)  # changes count as known soon after discovery can be reached
-            context.after(context.now + int(context.rng.uniform(0.3, 1.0) * delay), context.watch)
+            context.call_at(context.now + int(context.rng.uniform(0.3, 1.0) * delay), context.request_watch)
             return
         if event.listing is io.Listing.CACHED:
             self._schedule_first_calls()
@@ -48,9 +48,11 @@
         if settings.subscribe:
             spread = min(settings.ask_within * 0.8, settings.instances * 20_000)
             slot = settings.position + context.rng.random()
-            context.after(context.now + int(spread * slot / settings.instances), context.watch)
+            context.call_at(context.now + int(spread * slot / settings.instances), context.request_watch)
         if settings.may_tell and settings.instances > 1 and settings.weights is not io.Weights.LIVE:
-            context.after(context.now + int(MIN_MESSAGE_INTERVAL_US * context.rng.random()), self._send_loads)
+            context.call_at(
+                context.now + int(MIN_MESSAGE_INTERVAL_US * context.rng.random()), self._send_loads
+            )
 
     def _send_loads(self) -> None:
         """Send this scheduler's outstanding work to the others, as often as the price of messages allows."""
@@ -58,4 +60,4 @@
         context.actions.append(io.Tell(body))
         cost = context.settings.price_message * (len(body) + 8) / 256 * (context.settings.instances - 1)
         interval = cost / (MESSAGE_COST_PER_JOB * max(context.arrivals.per_s, 0.1)) * 1e6
-        context.after(context.now + max(MIN_MESSAGE_INTERVAL_US, int(interval)), self._send_loads)
+        context.call_at(context.now + max(MIN_MESSAGE_INTERVAL_US, int(interval)), self._send_loads)
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -142,13 +142,13 @@
         in_time = job.came + int(max(slack, job.spec.objective * MIN_RESPONSE_SHARE))
         self._push(job, not worthless_late and in_time <= context.now)
         if not worthless_late:
-            context.after(in_time, self._push, job)
+            context.call_at(in_time, self._push, job)
         elif job.hedged or job.never_ran():
             last = min(last, in_time)  # later it would only take the slot of a job that is in time
         if last <= context.now:
             self._expire(job)
         else:
-            context.after(last, self._expire, job)
+            context.call_at(last, self._expire, job)
 
     def _push(self, job: Job, late: bool = True) -> None:
         """Push the job; a late one ranks by its late worth, at equal worth behind those in time."""
@@ -223,7 +223,7 @@
         )
         job.list_seen = context.fleet.version
         job.look_at = context.now + max(4000, min(job.spec.objective // 8, 200_000))
-        context.after(job.look_at, context.no_op)
+        context.call_at(job.look_at, context.no_op)
         self.reports.send_probes(job)
         return job.queue.pass_over(job)
 
