--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -34,7 +34,7 @@
 
 
 class WorkerSelector:
-    """The eligible worker with the least estimated outstanding work."""
+    """Selects the eligible worker with the least estimated outstanding work."""
 
     def __init__(self, context: DispatchContext, reports: LoadReports, slow_start: SlowStart) -> None:
         self.context, self.reports, self.slow_start = context, reports, slow_start
