--- a/carthinge/front/__init__.py
+++ b/carthinge/front/__init__.py
@@ -1,1 +1,1 @@
-"""What clients and operators call: requests read and answered, call-backs, durable jobs by name."""
+"""The HTTP front end for clients, worker callbacks and operators."""
--- a/carthinge/front/answer_order.py
+++ b/carthinge/front/answer_order.py
@@ -1,7 +1,7 @@
-"""Answers go out in the order of their requests: the first must not outlast those that wait behind it.
+"""Limits head-of-line blocking on a connection with pipelined requests.
 
-A request that was sent ahead behind one with more time left would have its answer too late, which counts as
-none.  So the one in front is cut short: it still has its one final answer, and so has the other in its time.
+Answers go out in the order of the requests.  A pipelined request behind one with a later deadline would get
+its answer too late, which counts as no answer.  The request in front is therefore answered early.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from carthinge.net.http import Request
 from carthinge.net.loop import Loop, Timer
 
-#: After the time of a request that waits: it earns nothing then, and is lost half a second after it.
-CUT_SHORT_AFTER: Final = timedelta(milliseconds=250)
+#: After the deadline of a waiting request: it is worth nothing by then, but counts as lost only 500 ms later.
+HEAD_OF_LINE_GRACE: Final = timedelta(milliseconds=250)
 
 
-class AnswerOrder:
-    """Calls ``cut_short`` when the request in front has to have its answer for another's sake."""
+class HeadOfLineTimer:
+    """Calls ``cut_short`` when the request in front has to be answered so that a later one is in time."""
 
     def __init__(self, loop: Loop, cut_short: Callable[[], None]) -> None:
         self._loop = loop
@@ -27,14 +27,16 @@
         self._timer: Timer | None = None
 
     def watch(self, waiting: Iterable[Request]) -> None:
-        """These wait behind the one in front."""
+        """Set the timer from the deadlines of the requests that wait behind the first."""
         self.stop()
-        due = min((by for request in waiting if (by := deadline_of(request)) is not None), default=None)
+        due = min(
+            (deadline for request in waiting if (deadline := deadline_of(request)) is not None), default=None
+        )
         if due is not None:
-            self._timer = self._loop.call_at(due + CUT_SHORT_AFTER, self._cut_short)
+            self._timer = self._loop.call_at(due + HEAD_OF_LINE_GRACE, self._cut_short)
 
     def stop(self) -> None:
-        """The one in front has its answer, or its client has gone."""
+        """Cancel the timer: the request in front is answered, or its client has gone."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -1,4 +1,4 @@
-"""What workers tell of the jobs that they have."""
+"""Callbacks: job events that workers report."""
 
 from __future__ import annotations
 
@@ -19,95 +19,107 @@
     from carthinge.durable.held import Held
     from carthinge.durable.jobs import DurableJobs
 
-CALL_BACK: Final = b"/v1/job-events"
-NO_ANSWER: Final = 0  # the connection ends instead, and the worker calls again
-ENDINGS: Final = {"done": Result.OK, "failed": Result.ERROR, "returned": Result.FULL, "lost": Result.RESET}
+CALLBACK_PATH: Final = b"/v1/job-events"
+NO_ANSWER: Final = 0  # the connection is closed instead, so that the worker calls again
+RESULT_BY_STATE: Final = {
+    "done": Result.OK,
+    "failed": Result.ERROR,
+    "returned": Result.FULL,
+    "lost": Result.RESET,
+}
 
 
 class JobEvent(msgspec.Struct, frozen=True, rename={"sender": "from"}):
-    """What a worker tells of a job."""
+    """A job event, as a worker reports it."""
 
     id: str
     sender: str
     state: Literal["started", "running", "heartbeat", "done", "failed", "returned", "lost"]
     share: float = 0.0
-    token: int = 0  # of the lease, from workers that take part
+    token: int = 0  # of the lease, from workers that support leases
     result: str = ""
-    load: dict[str, float | None] | None = None  # a figure that is not known takes nothing else with it
+    load: dict[str, float | None] | None = None  # an unknown value is null; the others still count
 
 
 _EVENTS: Final[msgspec.json.Decoder[JobEvent]] = msgspec.json.Decoder(JobEvent)
 
 
-class Elsewhere(Protocol):
-    """Another process of this scheduler, while there is one."""
+class OtherProcess(Protocol):
+    """The other process of this scheduler during an upgrade."""
 
     @property
     def paired(self) -> bool:
-        """Whether there is another process of this scheduler now."""
+        """Whether another process of this scheduler is connected."""
 
-    def pass_call_back(self, body: bytes, done: Callable[[bool], None]) -> None:
-        """Hand a call-back to the other process; ``done`` hears whether its job is there."""
+    def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
+        """Forward a callback to the other process; ``done`` is called with whether its job is known there."""
 
 
-class CallBacks:
-    """Finds the attempt that a call-back is about, and tells the tracker."""
+class Callbacks:
+    """Finds the attempt that a callback refers to, and reports the event to the tracker."""
 
     def __init__(
-        self, tracker: RequestTracker, worker_client: WorkerClient, counters: Counters, elsewhere: Elsewhere
+        self,
+        tracker: RequestTracker,
+        worker_client: WorkerClient,
+        counters: Counters,
+        other_process: OtherProcess,
     ) -> None:
         self.durable: DurableJobs | None = None
         self._tracker = tracker
         self._worker_client = worker_client
         self._counters = counters
-        self._elsewhere = elsewhere
+        self._other_process = other_process
 
-    def take(self, body: bytes, done: Callable[[int], None]) -> None:
-        """A call-back; ``done`` hears the answer to it once it has got to where its job is."""
+    def handle(self, body: bytes, done: Callable[[int], None]) -> None:
+        """Handle a callback; calls ``done`` with the status once the process with the job has handled it."""
         event = self._read_event(body)
-        if event.id in self._tracker.by_id or not self._elsewhere.paired:
-            self._job_event(event, done)
+        if event.id in self._tracker.by_id or not self._other_process.paired:
+            self._handle_event(event, done)
         else:
             self._counters.job_events_passed_on += 1
-            self._elsewhere.pass_call_back(body, lambda known: self._passed_on(event, known, done))
+            self._other_process.forward_callback(body, lambda known: self._on_forwarded(event, known, done))
 
-    def _passed_on(self, event: JobEvent, known: bool, done: Callable[[int], None]) -> None:
-        """Guards against a call-back that crosses its tracked request, which was on its way here."""
+    def _on_forwarded(self, event: JobEvent, known: bool, done: Callable[[int], None]) -> None:
+        """Handle the callback here if the other process does not know the job.
+
+        The tracked request may have been handed over to this process while the callback was forwarded.
+        """
         if known:
             done(HTTPStatus.NO_CONTENT)
         else:
-            self._job_event(event, done)
+            self._handle_event(event, done)
 
-    def take_from_other(self, body: bytes, known: Callable[[bool], None]) -> None:
-        """One that came to another process of this scheduler; ``known`` hears whether its job is here."""
+    def handle_forwarded(self, body: bytes, done: Callable[[bool], None]) -> None:
+        """Handle a callback that another process received; calls ``done`` with whether its job is here."""
         event = self._read_event(body)
         if event.id in self._tracker.by_id:
-            self._job_event(event, lambda status: None)
-            known(True)
-        elif self.durable is None or not self.durable.when_loaded(lambda: self.take_from_other(body, known)):
-            known(False)
+            self._handle_event(event, lambda status: None)
+            done(True)
+        elif self.durable is None or not self.durable.when_loaded(lambda: self.handle_forwarded(body, done)):
+            done(False)
 
     def _read_event(self, body: bytes) -> JobEvent:
         try:
             return _EVENTS.decode(body)
-        except msgspec.MsgspecError as fault:
-            raise BadRequestError(HTTPStatus.BAD_REQUEST, f"not a job event: {fault}") from None
+        except msgspec.MsgspecError as error:
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, f"not a job event: {error}") from None
 
-    def _job_event(self, event: JobEvent, done: Callable[[int], None]) -> None:
-        """It counts only for the attempt that is out at its sender, and that has got there."""
+    def _handle_event(self, event: JobEvent, done: Callable[[int], None]) -> None:
+        """Apply an event; it counts only for an attempt that its sender holds and has acknowledged."""
         tracked = self._tracker.by_id.get(event.id)
         jobs = self.durable
-        if tracked is None and jobs is not None and jobs.when_loaded(lambda: self._job_event(event, done)):
+        if tracked is None and jobs is not None and jobs.when_loaded(lambda: self._handle_event(event, done)):
             return
         self._counters.job_events += 1
-        # Guards against the call-backs of a second copy being held against the first attempt, and dropped.
+        # By sender: a callback of a hedged attempt must not be matched with the first attempt and dropped.
         attempt = tracked.out_at(event.sender) if tracked is not None else None
         if attempt is not None and (not attempt.arrived or event.token not in (0, attempt.token)):
             attempt = None
         keeper = tracked.keeper if tracked is not None else None
         if attempt is None:
             self._counters.job_events_stale += 1
-            if jobs is not None and jobs.leaving:  # it may be about a job that is on its way to the other
+            if jobs is not None and jobs.leaving:  # its job may be on its way to the other process
                 done(NO_ANSWER)
             elif jobs is not None and event.token:
                 result = event.result.encode() if event.state == "done" else None
@@ -115,16 +127,16 @@
             else:
                 done(HTTPStatus.NO_CONTENT)
             return
-        if keeper is not None and event.token and event.state not in ENDINGS:
+        if keeper is not None and event.token and event.state not in RESULT_BY_STATE:
             keeper.renew(attempt, event.state != "heartbeat")
-        self._tell(attempt, event)
+        self._report(attempt, event)
         if keeper is not None and jobs is not None:
             jobs.acknowledge(cast("Held", keeper), done)
         else:
             done(HTTPStatus.NO_CONTENT)
 
-    def _tell(self, attempt: Attempt, event: JobEvent) -> None:
-        result = ENDINGS.get(event.state)
+    def _report(self, attempt: Attempt, event: JobEvent) -> None:
+        result = RESULT_BY_STATE.get(event.state)
         if result is None:
             self._tracker.note(
                 attempt, event.share if event.state == "running" else None, begun=event.state != "heartbeat"
@@ -132,9 +144,9 @@
             return
         self._worker_client.forsake(attempt)
         self._tracker.end(
-            attempt, result, self._worker_client.report(_known(event.load)), event.result.encode()
+            attempt, result, self._worker_client.report(_known_load(event.load)), event.result.encode()
         )
 
 
-def _known(load: dict[str, float | None] | None) -> dict[str, float]:
-    return {name: figure for name, figure in (load or {}).items() if figure is not None}
+def _known_load(load: dict[str, float | None] | None) -> dict[str, float]:
+    return {name: value for name, value in (load or {}).items() if value is not None}
--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -1,4 +1,4 @@
-"""One connection that came in: requests in, answers out, in their order."""
+"""An incoming connection: reads requests and writes their answers in order."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 import msgspec
 
 from carthinge.fleet.retry_after import stay_away
-from carthinge.front.answer_order import AnswerOrder
-from carthinge.front.call_backs import CALL_BACK, NO_ANSWER
-from carthinge.front.gate import Gate
+from carthinge.front.answer_order import HeadOfLineTimer
+from carthinge.front.call_backs import CALLBACK_PATH, NO_ANSWER
+from carthinge.front.gate import FrontendProtocol
 from carthinge.front.read_timer import ReadTimer
 from carthinge.front.translator import JOBS
 from carthinge.net import log
@@ -30,32 +30,32 @@
 if TYPE_CHECKING:  # not loaded where no job is durable
     from carthinge.front.durable_front import DurableFront, JobCall
 
-PIPELINED: Final = 8  # requests that may wait on one connection; clients of this protocol send one at a time
-WAITING_SHARE: Final = 0.75  # of all slots: workers' call-backs need some, or no job would ever end
+MAX_PIPELINED_REQUESTS: Final = 8  # waiting on one connection; clients of this protocol send one at a time
+MAX_WAITING_SHARE: Final = 0.75  # of all slots; worker callbacks, without which no job ends, need the rest
 
 
 class ClientConnection:
-    """One connection of a client or of a worker that calls back.  Answers go out in the order of requests."""
+    """A connection of a client or of a worker that calls back.  Answers go out in the order of requests."""
 
     def __init__(
-        self, frontend: Gate, sock: socket.socket, connected: timedelta, unread_since: timedelta
+        self, frontend: FrontendProtocol, sock: socket.socket, connected: timedelta, unread_since: timedelta
     ) -> None:
-        """It was made no earlier than ``connected``; what waits on it unread came after ``unread_since``."""
+        """``connected``: earliest time of the connect.  ``unread_since``: earliest arrival of unread data."""
         self._frontend = frontend
         self.number = frontend.counters.connections_in + frontend.counters.connections_taken_over
-        self._requests = 0  # whole ones that were read
-        self._connected = connected
+        self._requests = 0  # complete requests read
+        self._connected_at = connected
         self._unread_since = unread_since
-        self._entered = frontend.loop.turns
+        self._entered_turn = frontend.loop.turns
         self._reader = RequestReader()
         self._waiting: deque[Request] = deque()
         self._current: Request | None = None
-        self._exchange: TrackedRequest | None = None
-        self._call: JobCall | None = None
-        self.put_off = False  # its request is for the other process
+        self._tracked: TrackedRequest | None = None
+        self._job_call: JobCall | None = None
+        self.put_off = False  # the current request is left to the other process
         self._finished = False
-        self._read_timer = ReadTimer(frontend.loop, self._overdue)
-        self._order = AnswerOrder(frontend.loop, self._cut_short)
+        self._read_timer = ReadTimer(frontend.loop, self._read_timed_out)
+        self._head_of_line = HeadOfLineTimer(frontend.loop, self._cut_short)
         self._accepted = frontend.loop.now
         self._stream = Stream(frontend.loop, sock, self)
 
@@ -66,19 +66,19 @@
         )
 
     def silent(self) -> bool:
-        """Whether nothing waits to be read or sent."""
+        """Whether there is nothing to read or to send."""
         return not self._stream.unsent and self._stream.silent()
 
     def began(self) -> bool:
-        """Whether a part of a request has been read."""
+        """Whether a request has been read in part."""
         return self._reader.under_way
 
     def has_left(self) -> bool:
         """Whether the client has closed the connection."""
         return self._stream.left()
 
-    def at_rest(self) -> bool:
-        """Its client waits for an answer, and has sent nothing more."""
+    def awaits_answer(self) -> bool:
+        """Whether the client waits for an answer and has sent nothing more."""
         return not (
             self._current is None
             or self._waiting
@@ -91,60 +91,60 @@
         """Whether the client of the current request wants the connection kept."""
         return self._current is not None and self._current.keep_alive
 
-    def put_off_since(self) -> timedelta:
-        """When the request that was put off had come: its client's time has run since."""
+    def deferred_arrival(self) -> timedelta:
+        """Return the arrival time of the deferred request, from which its deadline runs."""
         assert self._current is not None
         return self._current.came
 
-    def unhandled(self) -> bytes:
-        """The requests that were put off, as they may have come."""
+    def deferred_requests(self) -> bytes:
+        """Return the deferred requests, encoded again."""
         requests = [self._current, *self._waiting] if self._current is not None else []
         return b"".join(
-            call_bytes(request.method.decode(), request.target, "", _as_sent(request.headers), request.body)
+            call_bytes(request.method.decode(), request.target, "", _unframed(request.headers), request.body)
             for request in requests
         )
 
-    def waiting_for(self) -> Waiting | None:
-        """The durable job that its client waits for, where another process has it."""
-        call = self._call
-        if call is None or call.held is not None or not call.number or not self.at_rest():
+    def waiting_job(self) -> Waiting | None:
+        """Return the durable job that the client waits for, if another process has that job."""
+        job_call = self._job_call
+        if job_call is None or job_call.held is not None or not job_call.number or not self.awaits_answer():
             return None
-        call.drop()
-        return Waiting(call.name, call.in_place, call.until // MICROSECOND, self.keep_alive())
+        job_call.detach()
+        return Waiting(job_call.name, job_call.in_place, job_call.until // MICROSECOND, self.keep_alive())
 
-    def resume_call(self, durable: DurableFront, job: str, in_place: bool, wait: timedelta) -> None:
-        """As where another process has begun to wait for that job."""
+    def resume_job_call(self, durable: DurableFront, job: str, in_place: bool, wait: timedelta) -> None:
+        """Go on waiting for a durable job, as begun in another process."""
         assert self._current is not None
         request = self._current
-        call = durable.resume(self, request, job, in_place, wait)
+        job_call = durable.resume(self, request, job, in_place, wait)
         if self._current is request:
-            self._call = call
+            self._job_call = job_call
 
-    def go_on(self) -> None:
-        """Handles a request that was put off."""
+    def handle_deferred(self) -> None:
+        """Handle a deferred request."""
         if self.put_off and self._current is not None:
             self.put_off = False
             self._waiting.appendleft(self._current)
             self._current = None
-            self._next()
+            self._handle_next()
 
-    def wait_for_answer(self, keep_alive: bool) -> None:
-        """As where another process has read the request."""
+    def expect_answer(self, keep_alive: bool) -> None:
+        """Expect the answer to a request that another process has read."""
         self._current = Request(b"POST", b"", {}, b"", keep_alive)
 
-    def owe(self, tracked: TrackedRequest) -> None:
-        """Wait for the answer to a job."""
-        self._exchange = tracked
+    def wait_for_result(self, tracked: TrackedRequest) -> None:
+        """Wait for the result of a job."""
+        self._tracked = tracked
         self._frontend.waiting.add(self)
 
     def release(self) -> socket.socket:
-        """Lets go of the socket, for another process to go on with."""
+        """Detach the socket and return it, to be handed over to another process."""
         self._frontend.slots.leave(self)
         self._frontend.waiting.discard(self)
         return self._stream.release()
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once; what its client waited for is abandoned."""
+        """Close at once and abandon the tracked request, if any."""
         owed = self._current is not None or bool(self._waiting)
         self._frontend.tracker.invariants.closing(self.number, owed, reason)
         self._stream.close()
@@ -153,50 +153,50 @@
     # ---- the stream -----------------------------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        """Read requests from bytes, and handle what is whole."""
+        """Parse received bytes and handle complete requests."""
         try:
             requests = self._reader.feed(data)
-            came = self._came_at()
+            arrived = self._earliest_arrival()
             for request in requests:
-                request.came = came
+                request.came = arrived
             self._waiting.extend(requests)
             self._requests += len(requests)
-            if len(self._waiting) > PIPELINED:
+            if len(self._waiting) > MAX_PIPELINED_REQUESTS:
                 raise BadRequestError(HTTPStatus.BAD_REQUEST, "too many requests at once")
-        except BadRequestError as fault:
-            self._turn_away(fault)
+        except BadRequestError as error:
+            self._reject_all(error)
             return
         if requests:
             self._frontend.slots.used(self)
         if requests or not self._reader.under_way:
             self._read_timer.stop()
-        if self._reader.under_way:  # where requests are sent ahead it may be another one than before
-            self._read_timer.progressed(came, came if self._requests else self._connected)
-        self._next()
-        self._go_ahead()
+        if self._reader.under_way:  # with pipelining it may be another one than before
+            self._read_timer.progressed(arrived, arrived if self._requests else self._connected_at)
+        self._handle_next()
+        self._send_continue()
 
-    def _go_ahead(self) -> None:
-        """Tells a client that asks first to send the body; behind other requests once they are answered."""
+    def _send_continue(self) -> None:
+        """Answer ``Expect: 100-continue``, once all earlier requests are answered."""
         if not self._reader.expects_go_ahead or self._finished:
             return
         if self._current is not None or self._waiting:
-            self._read_timer.stop()  # until then it is this side that is waited for
+            self._read_timer.stop()  # until then the client waits for this side
             return
         self._reader.expects_go_ahead = False
         self._stream.write(GO_AHEAD)
         now = self._frontend.loop.now
         self._read_timer.progressed(now, now)
 
-    def _came_at(self) -> timedelta:
-        """What is read now came no earlier than then."""
+    def _earliest_arrival(self) -> timedelta:
+        """Return the earliest time at which the data being read can have arrived."""
         loop = self._frontend.loop
-        return self._unread_since if loop.turns <= self._entered + 1 else loop.since
+        return self._unread_since if loop.turns <= self._entered_turn + 1 else loop.since
 
     def flushed(self) -> None:
-        """Nothing follows from that."""
+        """Required by the stream; nothing to do."""
 
     def ended(self, why: str) -> None:
-        """The client has gone; what it waited for is not owed any more."""
+        """The connection has ended: its requests no longer need an answer."""
         log.logger().debug(
             "connection_closed",
             connection=self.number,
@@ -208,80 +208,80 @@
         self._frontend.slots.leave(self)
         self._waiting.clear()
         self._read_timer.stop()
-        self._order.stop()
+        self._head_of_line.stop()
         self._abandon()
 
     def _abandon(self) -> None:
-        tracked, self._exchange = self._exchange, None
+        tracked, self._tracked = self._tracked, None
         self._frontend.waiting.discard(self)
         if tracked is not None:
             self._frontend.tracker.abandon(tracked)
-        call, self._call = self._call, None
-        if call is not None:
-            call.drop()
+        job_call, self._job_call = self._job_call, None
+        if job_call is not None:
+            job_call.detach()
 
-    def _overdue(self, last_sign: timedelta) -> None:
-        """Guards against clients that begin a request and never end it: they are owed an error."""
-        self._check_in_time(last_sign)
-        self._turn_away(BadRequestError(HTTPStatus.REQUEST_TIMEOUT, "the request took too long to arrive"))
+    def _read_timed_out(self, last_progress: timedelta) -> None:
+        """Answer a request that was not completed in time with an error."""
+        self._check_invariant(last_progress)
+        self._reject_all(BadRequestError(HTTPStatus.REQUEST_TIMEOUT, "the request took too long to arrive"))
 
-    def _check_in_time(self, last_sign: timedelta) -> None:
+    def _check_invariant(self, last_progress: timedelta) -> None:
         now = self._frontend.loop.clock.now()
-        self._frontend.tracker.invariants.half_request_ended(self.number, last_sign, self._accepted, now)
+        self._frontend.tracker.invariants.half_request_ended(self.number, last_progress, self._accepted, now)
 
-    def _turn_away(self, fault: BadRequestError) -> None:
-        """Nothing more can be read here: all that waits on the connection is answered so, and it ends.
+    def _reject_all(self, error: BadRequestError) -> None:
+        """Answer all waiting requests with an error and end the connection, which cannot be read further.
 
-        Guards against what cannot be read being left to wait behind a tracked request that is under way.
+        The error must not wait behind a tracked request that is still in progress.
         """
         self._abandon()
-        refusal = answer_bytes(fault.status, f"{fault}\n".encode())
-        self._stream.write(refusal * (len(self._waiting) + (self._current is not None)))
+        answer = answer_bytes(error.status, f"{error}\n".encode())
+        self._stream.write(answer * (len(self._waiting) + (self._current is not None)))
         self._waiting.clear()
         self._current = None
-        self._refuse(fault, readable=False)
+        self._refuse_bad_request(error, readable=False)
 
     # ---- requests -------------------------------------------------------------------------
 
-    def _next(self) -> None:
+    def _handle_next(self) -> None:
         while self._current is None and self._waiting and not self._finished:
             self._current = self._waiting.popleft()
             try:
                 self._handle(self._current)
-            except BadRequestError as fault:
-                self._refuse(fault)
+            except BadRequestError as error:
+                self._refuse_bad_request(error)
         if self._current is not None and self._waiting:
-            self._order.watch(self._waiting)
+            self._head_of_line.watch(self._waiting)
 
     def _cut_short(self) -> None:
-        """What waits behind the current request has to have its answer."""
-        if self._exchange is not None:
-            self._frontend.tracker.cut_short(self._exchange)
-        elif self._call is not None:
-            self._call.cut_short()
+        """Answer the current request early, for the sake of those behind it."""
+        if self._tracked is not None:
+            self._frontend.tracker.cut_short(self._tracked)
+        elif self._job_call is not None:
+            self._job_call.cut_short()
 
     def _handle(self, request: Request) -> None:
         path = request.target.split(b"?", 1)[0]
         durable = self._frontend.durable
-        if request.method == b"POST" and path == CALL_BACK:
-            self._frontend.call_backs.take(request.body, lambda status: self.reply(request, status))
-        elif durable is not None and durable.concerns(request, path):
+        if request.method == b"POST" and path == CALLBACK_PATH:
+            self._frontend.call_backs.handle(request.body, lambda status: self.reply(request, status))
+        elif durable is not None and durable.handles(request, path):
             if durable.jobs.leaving:
                 self.put_off = True
                 return
             frontend = self._frontend
-            call = durable.begin(
+            job_call = durable.begin(
                 self,
                 request,
                 path,
                 frontend.translator,
-                lambda asked: frontend.patience(asked, request.came),
+                lambda timeout: frontend.remaining_time(timeout, request.came),
                 frontend.tracker.by_id.__contains__,
             )
-            if self._current is request:  # else it is answered already
-                self._call = call
+            if self._current is request:  # otherwise it is answered already
+                self._job_call = job_call
         elif request.method == b"POST" and (path == JOBS or path.startswith(JOBS + b"/")):
-            self._take(request)
+            self._accept_job(request)
         elif request.method == b"GET" and path == b"/up":
             self._answer(HTTPStatus.OK if self._frontend.up() else HTTPStatus.SERVICE_UNAVAILABLE)
         elif request.method == b"GET" and path == b"/counters":
@@ -296,29 +296,29 @@
     def reply(
         self, request: Request, status: int, body: bytes = b"", headers: list[tuple[str, str]] | None = None
     ) -> None:
-        """The answer to a request that had to wait for something."""
-        if self._current is request and not self._stream.closed:  # else whoever asked has gone meanwhile
-            self._call = None
+        """Answer a request asynchronously."""
+        if self._current is request and not self._stream.closed:  # otherwise the client has gone meanwhile
+            self._job_call = None
             if status == NO_ANSWER:
                 self.close(CloseReason.CALL_BACK_ELSEWHERE)
             else:
                 self._answer(status, body, headers)
 
-    def _take(self, request: Request) -> None:
+    def _accept_job(self, request: Request) -> None:
         job, terms = self._frontend.translator.read(request)
-        if job.id in self._frontend.tracker.by_id:  # its call-backs could not be told from the other's
+        if job.id in self._frontend.tracker.by_id:  # callbacks identify their job by this id
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: in use by another request")
         frontend = self._frontend
-        if len(frontend.waiting) >= frontend.slots.most * WAITING_SHARE:
+        if len(frontend.waiting) >= frontend.slots.most * MAX_WAITING_SHARE:
             frontend.counters.taken += 1
             frontend.counters.shed += 1
             frontend.counters.shed_for_room += 1
             frontend.tracker.ended.refused[terms.class_name] += 1
-            point = mix(frontend.counters.shed_for_room)  # when there will be room is known to nobody
-            away = stay_away(inf, 0, frontend.max_retry_after // MICROSECOND, point) * MICROSECOND
-            self._shed(away, keep_alive=False)
+            jitter = mix(frontend.counters.shed_for_room)  # when slots become free cannot be predicted
+            retry_after = stay_away(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
+            self._shed(retry_after, keep_alive=False)
             return
-        terms = replace(terms, patience=frontend.patience(terms.patience, request.came))
+        terms = replace(terms, patience=frontend.remaining_time(terms.patience, request.came))
         log.logger().debug(
             "request_taken",
             id=job.id,
@@ -326,12 +326,12 @@
             job_class=terms.class_name,
             left_ms=terms.patience // MILLISECOND,
         )
-        self.owe(frontend.tracker.take(job, terms, self))
+        self.wait_for_result(frontend.tracker.take(job, terms, self))
 
-    def _refuse(self, fault: BadRequestError, readable: bool = True) -> None:
+    def _refuse_bad_request(self, error: BadRequestError, readable: bool = True) -> None:
         self._frontend.counters.bad_input += 1
-        log.logger().debug("bad_input", connection=self.number, status=int(fault.status), why=str(fault))
-        self._answer(fault.status, f"{fault}\n".encode(), readable=readable)
+        log.logger().debug("bad_input", connection=self.number, status=int(error.status), why=str(error))
+        self._answer(error.status, f"{error}\n".encode(), readable=readable)
         self._frontend.slots.misused(self)
 
     # ---- answers --------------------------------------------------------------------------
@@ -340,12 +340,12 @@
         """Answer the job with its result."""
         self._answer(HTTPStatus.OK, result)
 
-    def shed(self, stay_away: timedelta) -> None:
-        """Answer that the job is refused, and when to come again."""
-        self._shed(min(stay_away, self._frontend.max_retry_after))
+    def shed(self, retry_after: timedelta) -> None:
+        """Answer that the job is refused, with the time to wait before a retry."""
+        self._shed(min(retry_after, self._frontend.max_retry_after))
 
-    def _shed(self, away: timedelta, keep_alive: bool = True) -> None:
-        headers = [("Retry-After", f"{away.total_seconds():.3f}")] if away else []
+    def _shed(self, retry_after: timedelta, keep_alive: bool = True) -> None:
+        headers = [("Retry-After", f"{retry_after.total_seconds():.3f}")] if retry_after else []
         self._answer(HTTPStatus.SERVICE_UNAVAILABLE, headers=headers, keep_alive=keep_alive)
 
     def fail(self, timed_out: bool) -> None:
@@ -365,17 +365,19 @@
         keep_alive: bool = True,
         readable: bool = True,
     ) -> None:
-        """``keep_alive``: the connection may go on; it does where more has been read of it, as that is owed
-        an answer too, unless it is not ``readable`` any more."""
-        self._order.stop()
-        request, self._current, self._exchange = self._current, None, None
+        """Write an answer.  The connection goes on if ``keep_alive`` is true or if more requests were read.
+
+        It always ends if it is no longer ``readable``.
+        """
+        self._head_of_line.stop()
+        request, self._current, self._tracked = self._current, None, None
         self._frontend.waiting.discard(self)
         if request is not None and request.method == b"HEAD":
             body = b""
-        more = bool(self._waiting) or self._reader.under_way
+        more_to_answer = bool(self._waiting) or self._reader.under_way
         keep_alive = (
             readable
-            and (more or (keep_alive and self._frontend.keeps_connections()))
+            and (more_to_answer or (keep_alive and self._frontend.keeps_connections()))
             and (request is None or request.keep_alive)
         )
         self._stream.write(answer_bytes(status, body, headers or (), keep_alive))
@@ -385,12 +387,12 @@
             self._frontend.slots.end(self)
             self._stream.finish()
         elif self._waiting:
-            self._frontend.loop.soon(self._next)
+            self._frontend.loop.soon(self._handle_next)
         else:
-            self._go_ahead()
+            self._send_continue()
 
 
-def _as_sent(headers: dict[bytes, bytes]) -> list[tuple[str, bytes]]:
-    """Without what is said of the framing: the request is framed anew."""
+def _unframed(headers: dict[bytes, bytes]) -> list[tuple[str, bytes]]:
+    """Return the headers without those of the framing, which is generated again."""
     framing = (b"host", b"content-length", b"transfer-encoding", b"expect")
     return [(name.decode("latin-1"), value) for name, value in headers.items() if name not in framing]
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -1,4 +1,4 @@
-"""Frontend: the address for clients' jobs and workers' call-backs, and the connections that came in on it."""
+"""Frontend: the listener for clients' jobs and workers' callbacks, and its connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Final, cast
 
-from carthinge.front.call_backs import CallBacks, Elsewhere
+from carthinge.front.call_backs import Callbacks, OtherProcess
 from carthinge.front.connection import ClientConnection
 from carthinge.front.translator import Translator
 from carthinge.net import log
@@ -25,12 +25,12 @@
 if TYPE_CHECKING:  # not loaded where no job is durable
     from carthinge.front.durable_front import DurableFront
 
-PAUSE_TOLD: Final = timedelta(seconds=10)  # pauses that follow on one another are logged once in a while
-FRESH_CHECKED: Final = timedelta(milliseconds=200)  # how often it is looked at who has sent nothing
+PAUSE_LOG_INTERVAL: Final = timedelta(seconds=10)  # between log lines of repeated pauses
+FRESH_CHECK_INTERVAL: Final = timedelta(milliseconds=200)  # between checks for connections without a request
 
 
 class Frontend:
-    """The listening socket and the connections that came in on it."""
+    """The listening socket and the connections accepted on it."""
 
     def __init__(
         self,
@@ -39,65 +39,65 @@
         tracker: RequestTracker,
         worker_client: WorkerClient,
         counters: Counters,
-        most: int,
+        max_connections: int,
         ready: Callable[[], bool],
-        elsewhere: Elsewhere,
+        other_process: OtherProcess,
     ) -> None:
         self.loop = loop
         self.tracker = tracker
         self.counters = counters
         self.translator = Translator(site)
         self.max_retry_after = site.max_retry_after
-        self._greeting = site.connect_timeout  # whoever connects writes its first bytes within that, too
+        self._first_bytes_timeout = site.connect_timeout  # the same for a client's first bytes
         self._ready = ready
         self.draining: Drain | None = None
-        self.call_backs = CallBacks(tracker, worker_client, counters, elsewhere)
+        self.call_backs = Callbacks(tracker, worker_client, counters, other_process)
         self.durable: DurableFront | None = None
-        self.slots = ConnectionSlots(most)
-        self.waiting: set[Holder] = set()  # their clients wait for the answer to a job
+        self.slots = ConnectionSlots(max_connections)
+        self.waiting: set[Holder] = set()  # connections whose clients wait for the answer to a job
         self._listener: Listener | None = None
-        self._checking = False
-        self._pause_told = timedelta()
+        self._checking_fresh = False
+        self._pause_logged_at = timedelta()
 
     def listen(self, sock: socket.socket) -> None:
         """Begin to accept connections."""
         self._listener = Listener(self.loop, sock, self)
 
     def retune(self, site: Site) -> None:
-        """Requests that are read from now on are meant by this site's names."""
+        """Apply the settings of a site to all requests read from now on."""
         self.translator = Translator(site)
         self.max_retry_after = site.max_retry_after
-        self._greeting = site.connect_timeout
+        self._first_bytes_timeout = site.connect_timeout
 
     def up(self) -> bool:
-        """Whether new jobs are welcome."""
+        """Whether new jobs are accepted."""
         return self._ready() and self.draining is None
 
     def keeps_connections(self) -> bool:
-        """Whether connections may go on after an answer."""
+        """Whether connections are kept open after an answer."""
         return self.draining is None or self.loop.now < self.draining.kept_until
 
-    def patience(self, asked: timedelta, came: timedelta) -> timedelta:
-        """What is left of it, for a request that ``came`` then: its client's time ran while it was unread."""
-        return patience_left(asked, came, self.loop.now, self.draining)
+    def remaining_time(self, timeout: timedelta, arrived: timedelta) -> timedelta:
+        """Return what is left of the timeout of a request, which runs from its arrival, even while unread."""
+        return patience_left(timeout, arrived, self.loop.now, self.draining)
 
-    def rest(self) -> None:
-        """Takes no new connection in; they wait for another process that listens on the same socket."""
+    def pause_accepting(self) -> None:
+        """Stop accepting; connections wait for another process that listens on the same socket."""
         if self._listener is not None:
             self._listener.pause()
 
-    def resume(self) -> None:
-        """Accept connections again after ``rest``."""
+    def resume_accepting(self) -> None:
+        """Accept connections again after ``pause_accepting``."""
         if self._listener is not None:
             self._listener.resume()
 
     def adopt(self, sock: socket.socket, incoming: Incoming) -> None:
-        """A connection that another process took in; what was read there is handled here."""
+        """Take over a connection from another process, and handle what was read there."""
         self.counters.connections_taken_over += 1
         now = self.loop.now // MICROSECOND
         connected = now if incoming.connected_us is None else incoming.connected_us
-        came = now if incoming.came_us is None else incoming.came_us
-        connection = self._hold(sock, connected * MICROSECOND, came * MICROSECOND)
+        arrived = now if incoming.came_us is None else incoming.came_us
+        connection = self._add_connection(sock, connected * MICROSECOND, arrived * MICROSECOND)
         if not incoming.fresh:
             self.slots.used(connection)
         if incoming.read:
@@ -106,66 +106,66 @@
     def adopt_waiting(
         self, sock: socket.socket, keep_alive: bool, job: str, in_place: bool, until: timedelta
     ) -> None:
-        """The same for a connection whose client waits for a durable job."""
+        """Take over a connection whose client waits for a durable job."""
         connection = self.adopt_open(sock, keep_alive)
         if self.durable is not None:
-            connection.resume_call(self.durable, job, in_place, until - self.loop.now)
+            connection.resume_job_call(self.durable, job, in_place, until - self.loop.now)
 
     def adopt_open(self, sock: socket.socket, keep_alive: bool) -> ClientConnection:
-        """The same for a connection whose client waits for an answer."""
+        """Take over a connection whose client waits for an answer."""
         self.counters.connections_taken_over += 1
-        connection = self._hold(sock)
+        connection = self._add_connection(sock)
         self.slots.used(connection)
-        connection.wait_for_answer(keep_alive)
+        connection.expect_answer(keep_alive)
         return connection
 
     def release_idle(self) -> Iterator[tuple[socket.socket, Incoming]]:
-        """Lets go of the connections on which nothing is under way; what is known of each comes along."""
-        came = self.loop.since // MICROSECOND
+        """Release all idle connections, each with its state."""
+        arrived = self.loop.since // MICROSECOND
         for connection in self._connections():
             if connection.idle():
                 opened = self.slots.fresh.get(connection)
-                connected = came if opened is None else opened.connected // MICROSECOND
-                yield connection.release(), Incoming(opened is not None, b"", connected, came)
+                connected = arrived if opened is None else opened.connected // MICROSECOND
+                yield connection.release(), Incoming(opened is not None, b"", connected, arrived)
 
     def release_put_off(self) -> Iterator[tuple[socket.socket, Incoming]]:
-        """Lets go of the connections whose request is for the other process, with that request."""
+        """Release the connections whose request is left to the other process, with that request."""
         for connection in self._connections():
-            if connection.put_off and not connection.began():  # the half of another would be lost
-                came = connection.put_off_since() // MICROSECOND
-                read = connection.unhandled()
-                yield connection.release(), Incoming(False, read, came, came)
+            if connection.put_off and not connection.began():  # a partially read request would be lost
+                arrived = connection.deferred_arrival() // MICROSECOND
+                read = connection.deferred_requests()
+                yield connection.release(), Incoming(False, read, arrived, arrived)
 
     def release_waiting(self) -> Iterator[tuple[socket.socket, Waiting]]:
-        """Lets go of the connections whose clients wait for a durable job that is the other process's."""
+        """Release the connections whose clients wait for a durable job that the other process has."""
         for connection in self._connections():
-            waiting = connection.waiting_for()
+            waiting = connection.waiting_job()
             if waiting is not None:
                 yield connection.release(), waiting
 
     def _connections(self) -> list[ClientConnection]:
         return cast("list[ClientConnection]", self.slots.all())
 
-    def go_on(self) -> None:
-        """There is no other process any more: requests that were put off are handled here."""
+    def handle_deferred(self) -> None:
+        """Handle all deferred requests here, as the other process has ended."""
         for connection in self._connections():
-            connection.go_on()
+            connection.handle_deferred()
 
-    def end_idle(self) -> None:
-        """Ends the connections on which nothing is under way; one that has just come in may say something.
+    def close_idle(self) -> None:
+        """Close all idle connections, except new ones whose first request may be on its way.
 
-        They are closed at once: a request that crosses the end is not read, and its client sends it again
-        elsewhere.  No answer can be lost with it, as a client has its answer before it asks again.
+        A request that arrives during the close is not read; its client sends it again to another scheduler.
+        No answer is lost, since a client has its answer before it sends the next request.
         """
         for connection in self._connections():
             opened = self.slots.fresh.get(connection)
-            if opened is not None and self.loop.now < opened.entered + self._greeting:
+            if opened is not None and self.loop.now < opened.entered + self._first_bytes_timeout:
                 continue
             if connection.idle() and connection.silent():
                 connection.close(CloseReason.IDLE_IN_DRAIN)
 
-    def somebody_waits(self) -> bool:
-        """A connection has come in and was not accepted yet: what is on it is taken already."""
+    def has_backlog(self) -> bool:
+        """Whether a connection waits in the backlog, whose requests count as received already."""
         return self._listener is not None and self._listener.somebody_waits()
 
     def close(self) -> None:
@@ -182,10 +182,10 @@
         return self.slots.most - len(self.slots)
 
     def room(self) -> str | None:
-        """Makes room, where all slots are taken, by closing a connection."""
+        """Close a connection if all slots are taken; returns the reason if none can be closed."""
         if len(self.slots) < self.slots.most:
             return None
-        holder = self.slots.make_room(self.loop.now, self._greeting)
+        holder = self.slots.make_room(self.loop.now, self._first_bytes_timeout)
         if holder is None:
             return "every connection has a request under way or unread"
         self.counters.connections_in_closed_early += 1
@@ -193,34 +193,34 @@
         return None
 
     def enter(self, sock: socket.socket, since: timedelta) -> None:
-        """Take in a connection that was accepted."""
+        """Add an accepted connection."""
         self.counters.connections_in += 1
-        self._hold(sock, since)
+        self._add_connection(sock, since)
 
-    def _hold(
-        self, sock: socket.socket, connected: timedelta | None = None, came: timedelta | None = None
+    def _add_connection(
+        self, sock: socket.socket, connected: timedelta | None = None, arrived: timedelta | None = None
     ) -> ClientConnection:
-        """``connected`` no earlier than then; what may wait on it unread ``came`` no earlier than then."""
+        """``connected``: earliest time of the connect.  ``arrived``: earliest arrival of unread data."""
         connected = self.loop.now if connected is None else connected
-        connection = ClientConnection(self, sock, connected, connected if came is None else came)
+        connection = ClientConnection(self, sock, connected, connected if arrived is None else arrived)
         self.slots.enter(connection, Opened(connected, self.loop.now))
-        if not self._checking:
-            self._checking = True
-            self.loop.call_after(FRESH_CHECKED, self._check_fresh)
+        if not self._checking_fresh:
+            self._checking_fresh = True
+            self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
         return connection
 
     def resting(self, why: str) -> None:
-        """Log that no connection can be accepted for a moment."""
+        """Log that accepting is paused."""
         self.counters.accept_pauses += 1
-        if self.loop.now >= self._pause_told + PAUSE_TOLD:
-            self._pause_told = self.loop.now
+        if self.loop.now >= self._pause_logged_at + PAUSE_LOG_INTERVAL:
+            self._pause_logged_at = self.loop.now
             log.logger().warning("accept_paused", why=why, connections=len(self.slots))
 
     def _check_fresh(self) -> None:
-        """Guards against clients that connect and say nothing."""
+        """Close connections on which no request has begun in time."""
         for holder in self.slots.overdue(self.loop.now):
             self.counters.connections_in_silent += 1
             holder.close(CloseReason.NO_REQUEST)
-        self._checking = bool(self.slots.fresh)
-        if self._checking:
-            self.loop.call_after(FRESH_CHECKED, self._check_fresh)
+        self._checking_fresh = bool(self.slots.fresh)
+        if self._checking_fresh:
+            self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
--- a/carthinge/front/gate.py
+++ b/carthinge/front/gate.py
@@ -1,11 +1,11 @@
-"""What a client's connection wants of the front end."""
+"""The interface of the front end that a client connection uses."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-from carthinge.front.call_backs import CallBacks
+from carthinge.front.call_backs import Callbacks
 from carthinge.front.translator import Translator
 from carthinge.net.connection_slots import ConnectionSlots, Holder
 from carthinge.net.counters import Counters
@@ -16,24 +16,24 @@
     from carthinge.front.durable_front import DurableFront
 
 
-class Gate(Protocol):
-    """What a connection wants of the front end that it came in by."""
+class FrontendProtocol(Protocol):
+    """The front end, as a client connection sees it."""
 
     loop: Loop
     tracker: RequestTracker
     counters: Counters
     translator: Translator
-    call_backs: CallBacks
+    call_backs: Callbacks
     durable: DurableFront | None
     max_retry_after: timedelta
     slots: ConnectionSlots
-    waiting: set[Holder]  #: their clients wait for the answer to a job
+    waiting: set[Holder]  #: connections whose clients wait for the answer to a job
 
     def up(self) -> bool:
-        """New jobs are welcome."""
+        """Whether new jobs are accepted."""
 
     def keeps_connections(self) -> bool:
-        """Connections may go on after an answer."""
+        """Whether connections are kept open after an answer."""
 
-    def patience(self, asked: timedelta, came: timedelta) -> timedelta:
-        """What is left of a time, for a request that ``came`` then."""
+    def remaining_time(self, timeout: timedelta, arrived: timedelta) -> timedelta:
+        """Return what is left of the timeout of a request that arrived at the time given."""
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -1,4 +1,4 @@
-"""The operators' address: whether the program serves, its figures, and workers taken out by hand."""
+"""The operators' endpoint: readiness, metrics, and excluding workers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,10 @@
 from carthinge.net.loop import Loop, Timer
 from carthinge.net.stream import Stream
 
-MAX_CONNECTIONS: Final = (
-    16  # at the operators' address, apart from all others, so that no client can keep an operator out
-)
+MAX_CONNECTIONS: Final = 16  # a separate limit, so that clients cannot lock operators out
 BACKLOG: Final = 64
-WHOLE_CALL: Final = timedelta(seconds=5)  # from connecting to the last byte of the call
-CALLS: Final = {
+REQUEST_TIMEOUT: Final = timedelta(seconds=5)  # from the connect to the last byte of the request
+METHOD_BY_PATH: Final = {
     b"/ready": b"GET",
     b"/metrics": b"GET",
     b"/workers/disable": b"POST",
@@ -33,95 +31,98 @@
 
 
 class Operations(Protocol):
-    """What operators may ask for and have done."""
+    """What the program offers to operators."""
 
     def serving(self) -> bool:
-        """Whether the scheduler takes work."""
+        """Whether the scheduler accepts jobs."""
 
-    def figures(self) -> dict[str, Any]:
-        """Return the figures for ``/metrics``."""
+    def metrics(self) -> dict[str, Any]:
+        """Return the values for ``/metrics``."""
 
-    def by_hand(self, worker: str, out: bool, done: Callable[[bool], None]) -> None:
-        """Takes a worker out or puts it back; ``done`` hears False where nobody has that id."""
+    def set_excluded(self, worker: str, excluded: bool, done: Callable[[bool], None]) -> None:
+        """Exclude or re-admit a worker; ``done`` is called with whether the id is known."""
 
 
 class Operator:
-    """The listener for operators and the few connections on it."""
+    """The operators' listener and its connections."""
 
     def __init__(self, loop: Loop, address: Address, operations: Operations, counters: Counters) -> None:
         self.loop = loop
         self.operations = operations
         self.counters = counters
-        self.calls: OrderedDict[_Call, None] = OrderedDict()  # the longest open first
+        self.connections: OrderedDict[_Connection, None] = OrderedDict()  # oldest first
         self._listener = Listener(loop, bind(address, BACKLOG), self)
 
     def close(self) -> None:
         """Stop listening and close all connections."""
         self._listener.close()
-        for call in list(self.calls):
-            call.close()
+        for connection in list(self.connections):
+            connection.close()
 
     # ---- the listener ---------------------------------------------------------------------
 
     def free(self) -> int:
         """Return how many connections fit without making room."""
-        return MAX_CONNECTIONS - len(self.calls)
+        return MAX_CONNECTIONS - len(self.connections)
 
     def room(self) -> str | None:
-        """Whoever is open still has sent no whole call, or has its answer: the first makes room."""
+        """Close the oldest connection if all are in use.
+
+        Every open connection either has sent no complete request or has its answer already.
+        """
         if not self.free():
-            next(iter(self.calls)).close()
+            next(iter(self.connections)).close()
         return None
 
     def enter(self, sock: socket.socket, since: timedelta) -> None:
-        """Take in a connection that was accepted."""
-        self.calls[_Call(self, sock)] = None
+        """Add an accepted connection."""
+        self.connections[_Connection(self, sock)] = None
 
     def resting(self, why: str) -> None:
-        """Log that no connection can be accepted for a moment."""
+        """Log that accepting is paused."""
         log.logger().warning("operator_paused", why=why)
 
 
-class _Call:
-    """One connection with one call."""
+class _Connection:
+    """A connection, which carries one request."""
 
     def __init__(self, operator: Operator, sock: socket.socket) -> None:
         self._operator = operator
         self._reader = RequestReader()
-        self._asked = False
+        self._received_request = False
         self._stream = Stream(operator.loop, sock, self)
-        # Guards against callers that connect and say nothing, or stop in the middle.
-        self._patience: Timer = operator.loop.call_after(WHOLE_CALL, self.close)
+        # Closes connections on which no request, or only a part of one, arrives.
+        self._timeout: Timer = operator.loop.call_after(REQUEST_TIMEOUT, self.close)
 
     def close(self) -> None:
-        self._operator.counters.operator_silent += not self._asked
+        self._operator.counters.operator_silent += not self._received_request
         self._stream.close()
-        self.ended("closed here")
+        self.ended("closed by the scheduler")
 
     def received(self, data: bytes) -> None:
-        if self._asked:  # one call a connection
+        if self._received_request:  # one request per connection
             return
         try:
             requests = self._reader.feed(data)
             if requests:
-                self._asked = True
-                self._patience.cancel()
+                self._received_request = True
+                self._timeout.cancel()
                 self._operator.counters.operator_calls += 1
                 self._handle(requests[0])
-        except BadRequestError as fault:
-            self._asked = True
-            self._answer(fault.status, f"{fault}\n".encode())
+        except BadRequestError as error:
+            self._received_request = True
+            self._answer(error.status, f"{error}\n".encode())
 
     def flushed(self) -> None:
-        """Nothing follows from that."""
+        """Required by the stream; nothing to do."""
 
     def ended(self, why: str) -> None:
-        self._patience.cancel()
-        self._operator.calls.pop(self, None)
+        self._timeout.cancel()
+        self._operator.connections.pop(self, None)
 
     def _handle(self, request: Request) -> None:
         path, _, query = request.target.partition(b"?")
-        method = CALLS.get(path)
+        method = METHOD_BY_PATH.get(path)
         if method is None:
             raise BadRequestError(HTTPStatus.NOT_FOUND, "nothing here")
         if request.method != method:
@@ -130,11 +131,11 @@
         if path == b"/ready":
             self._answer(HTTPStatus.OK if operations.serving() else HTTPStatus.SERVICE_UNAVAILABLE)
         elif path == b"/metrics":
-            self._answer(HTTPStatus.OK, msgspec.json.encode(operations.figures()), json=True)
+            self._answer(HTTPStatus.OK, msgspec.json.encode(operations.metrics()), json=True)
         else:
-            operations.by_hand(_who(query), path == b"/workers/disable", self._done)
+            operations.set_excluded(_worker_id(query), path == b"/workers/disable", self._on_excluded)
 
-    def _done(self, known: bool) -> None:
+    def _on_excluded(self, known: bool) -> None:
         self._answer(HTTPStatus.OK if known else HTTPStatus.NOT_FOUND, b"" if known else b"no such worker\n")
 
     def _answer(self, status: int, body: bytes = b"", json: bool = False) -> None:
@@ -143,8 +144,8 @@
         self._stream.finish()
 
 
-def _who(query: bytes) -> str:
-    named = parse_qs(query.decode("latin-1"), keep_blank_values=True).get("who", [])
-    if len(named) != 1 or not named[0]:
+def _worker_id(query: bytes) -> str:
+    values = parse_qs(query.decode("latin-1"), keep_blank_values=True).get("who", [])
+    if len(values) != 1 or not values[0]:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "who: one worker's id is wanted")
-    return named[0]
+    return values[0]
--- a/carthinge/front/read_timer.py
+++ b/carthinge/front/read_timer.py
@@ -1,4 +1,4 @@
-"""The timer of a request of which a part has been read."""
+"""The read timeout of a partially received request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReadTimer:
-    """Calls ``overdue`` with its last sign once a request of one connection is not whole in time."""
+    """Calls ``overdue`` with the time of the last progress if a request is not complete in time."""
 
     def __init__(self, loop: Loop, overdue: Callable[[timedelta], None]) -> None:
         self._loop = loop
@@ -18,19 +18,19 @@
         self._partial: PartialRequest | None = None
         self._timer: Timer | None = None
 
-    def progressed(self, came: timedelta, began: timedelta) -> None:
-        """A part of a request was read, which ``came`` no earlier than then; it is not whole yet.
+    def progressed(self, arrived: timedelta, began: timedelta) -> None:
+        """Record that a part of an incomplete request was read; it arrived no earlier than ``arrived``.
 
-        ``began``: where this was its first part, when its time began.
+        ``began``: start of the timeout if this is the first part.
         """
         if self._partial is None:
-            self._partial = PartialRequest(began, self._loop.now, came)
+            self._partial = PartialRequest(began, self._loop.now, arrived)
             self._timer = self._loop.call_at(self._partial.overdue_at(), self._check)
         else:
-            self._partial.progressed = came
+            self._partial.progressed = arrived
 
     def stop(self) -> None:
-        """The request is whole, or its connection is over."""
+        """Stop the timer: the request is complete, or its connection has ended."""
         self._partial = None
         if self._timer is not None:
             self._timer.cancel()
@@ -43,6 +43,6 @@
         if self._loop.now < due:
             self._timer = self._loop.call_at(due, self._check)
         else:
-            last_sign = max(self._partial.began, self._partial.progressed)
+            last_progress = max(self._partial.began, self._partial.progressed)
             self.stop()
-            self._overdue(last_sign)
+            self._overdue(last_progress)
--- a/carthinge/front/translator.py
+++ b/carthinge/front/translator.py
@@ -1,4 +1,4 @@
-"""Requests of clients to jobs and their terms, by the names of the site."""
+"""Translates client requests into jobs and their terms, using the class and tenant names of the settings."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from carthinge.rules import Effect
 from carthinge.settings import Site
 
-JOBS: Final = b"/api"  # a further part, where there is one, is the key
+JOBS: Final = b"/api"  # a further path segment, if present, is the key
 REQUEST_ID: Final = re.compile(r"[0-9A-Za-z_.-]{1,128}")
-SPAN: Final = re.compile(r"(\d{1,15}(?:\.\d{1,9})?)([mu])")
+DURATION: Final = re.compile(r"(\d{1,15}(?:\.\d{1,9})?)([mu])")
 UNITS: Final = {"m": MILLISECOND, "u": MICROSECOND}
-PASSED_ON: Final = (b"idempotency-key", b"content-type")
+FORWARDED_HEADERS: Final = (b"idempotency-key", b"content-type")
 
 
 class Translator:
-    """Requests to jobs and their terms, by the names of the site."""
+    """Translates requests into jobs and terms, using the class and tenant names of one site."""
 
     def __init__(self, site: Site) -> None:
         self._classes = {name: index for index, name in enumerate(site.classes)}
@@ -32,22 +32,22 @@
         }
 
     def job_class(self, name: str) -> int | None:
-        """Its position for the module; None where this site has no such class."""
+        """Return the index of a class in the settings; None if this site has no such class."""
         return self._classes.get(name)
 
     def effect(self, name: str) -> Effect:
-        """What running a job of a class twice would do; the worst where this site has no such class."""
+        """Return the effect of running a job of a class twice; UNSAFE if this site has no such class."""
         return self._effects.get(name, Effect.UNSAFE)
 
     def tenant(self, name: str) -> int | None:
-        """Return a tenant's position; None where this site has no such tenant."""
+        """Return the index of a tenant; None if this site has no such tenant."""
         return self._tenants.get(name) if self._tenants else 0
 
     def read(self, request: Request) -> tuple[Job, Terms]:
-        """Raises BadRequestError with what is wrong."""
+        """Parse a request; raises BadRequestError if it is invalid."""
         headers = request.headers
         job_id = text(headers, b"req-id")
-        if not REQUEST_ID.fullmatch(job_id):  # it becomes part of a path
+        if not REQUEST_ID.fullmatch(job_id):  # the id becomes part of a path
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: missing or malformed")
         class_name = text(headers, b"req-kind")
         job_class = self._classes.get(class_name)
@@ -78,25 +78,27 @@
             headers.get(b"req-retry") == b"1",
             self.effect(class_name),
         )
-        passed = tuple((name.decode().title(), headers[name]) for name in PASSED_ON if name in headers)
-        return Job(job_id, request.target, request.body, passed), terms
+        forwarded = tuple(
+            (name.decode().title(), headers[name]) for name in FORWARDED_HEADERS if name in headers
+        )
+        return Job(job_id, request.target, request.body, forwarded), terms
 
 
 def text(headers: dict[bytes, bytes], name: bytes) -> str:
-    """Return a header as text, empty where it is missing."""
+    """Return a header as text, empty if it is missing."""
     return headers.get(name, b"").decode("latin-1")
 
 
 def span(text: str) -> timedelta:
     """Parse a number with the unit ``m`` (milliseconds) or ``u`` (microseconds)."""
-    found = SPAN.fullmatch(text)
-    if found is None:
+    match = DURATION.fullmatch(text)
+    if match is None:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Deadline: not a number with the unit m or u")
-    return float(found[1]) * UNITS[found[2]]
+    return float(match[1]) * UNITS[match[2]]
 
 
 def deadline_of(request: Request) -> timedelta | None:
-    """When the client of a job stops waiting; None where the request is no job or names no time."""
+    """Return when the client of a job stops waiting; None if it is no job or has no valid deadline."""
     if request.method != b"POST" or not request.target.startswith(JOBS):
         return None
     try:
@@ -118,6 +120,6 @@
 
 
 def subject_key(target: bytes) -> int:
-    """What the request is about, from the last part of its path; the same number at every scheduler."""
+    """Hash the last segment of the path; every scheduler computes the same key."""
     last = target.split(b"?", 1)[0].removeprefix(JOBS).rsplit(b"/", 1)[-1]
     return int.from_bytes(blake2b(last, digest_size=8).digest(), "little") if last else 0
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -86,7 +86,7 @@
         else:
             self.alone()
             if self._frontend.draining is None:
-                self._frontend.resume()
+                self._frontend.resume_accepting()
             if self._durable is not None:
                 from carthinge.durable.handover import take_back
 
@@ -95,7 +95,7 @@
     def _store_taken_back(self) -> None:
         if self._frontend.durable is not None:
             self._frontend.durable.resume_all()
-        self._frontend.go_on()
+        self._frontend.handle_deferred()
 
     @property
     def needs_word(self) -> bool:
@@ -107,7 +107,7 @@
 
         def gone(free: bool) -> None:
             if free:
-                self._frontend.rest()
+                self._frontend.pause_accepting()
             done(free)
 
         if self._durable is None:
@@ -123,7 +123,7 @@
 
     def call_back(self, body: bytes, known: Callable[[bool], None]) -> None:
         """Take a call-back that came to the other process."""
-        self._frontend.call_backs.take_from_other(body, known)
+        self._frontend.call_backs.handle_forwarded(body, known)
 
     def adopt_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
         """Take over a client's connection."""
@@ -162,7 +162,7 @@
                     result=None if sent.result is None else Result(sent.result),
                 )
             )
-        client.owe(taken)
+        client.wait_for_result(taken)
         self._tracker.take_over(taken, self._frontend.translator.tenant(tracked.tenant) or 0, tracked.memory)
 
     def adopt_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
@@ -195,7 +195,7 @@
                 self._upgrade.pass_waiting(sock, waiting)
         for tracked in list(self._tracker.tracked_requests.values()):
             client = tracked.client
-            if not (tracked.owed and isinstance(client, ClientConnection) and client.at_rest()):
+            if not (tracked.owed and isinstance(client, ClientConnection) and client.awaits_answer()):
                 continue
             if all(
                 attempt.arrived and not (attempt.leaving or self._worker_client.calling(attempt))
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -256,7 +256,7 @@
         """Whether the scheduler takes work."""
         return self._serving and self.frontend.up()
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """Return the figures for ``/metrics``."""
         ended, counters, fleet = self.tracker.ended, self.counters, self.dispatcher.fleet
         return {
@@ -274,7 +274,7 @@
             **({"fleet": self.fleet.figures()} if self.fleet is not None else {}),
         }
 
-    def by_hand(self, worker: str, out: bool, done: Callable[[bool], None]) -> None:
+    def set_excluded(self, worker: str, out: bool, done: Callable[[bool], None]) -> None:
         """Carried out at both processes, where there are two, before it is answered."""
         known = self.by_hand_here(worker, out, sure=False)
         if not self.upgrade.paired:
@@ -371,20 +371,20 @@
         )
         self.frontend.draining = drain
         if self.frontend.durable is not None:  # what is open goes on after the next start
-            self.loop.call_at(drain.answered_by, self.frontend.durable.let_go)
+            self.loop.call_at(drain.answered_by, self.frontend.durable.answer_all_pending)
         self.loop.call_at(self.loop.now if self.upgrade.leaving else drain.kept_until, self._check_over)
 
     def _check_over(self) -> None:
         """Ends once nothing has been under way for a little while: what is on its way here is taken still."""
         if not self.upgrade.leaving:  # else they go to the process that has taken over
-            self.frontend.end_idle()
+            self.frontend.close_idle()
         owed = any(tracked.keeper is None for tracked in self.tracker.tracked_requests.values())
         connected = len(self.frontend.slots) > 0
         front, drain = self.frontend.durable, self.frontend.draining
         if front is not None and drain is not None and self.loop.now >= drain.answered_by:
             # Workers go on calling back about durable jobs: those are the next process's.
             connected = bool(front.waiting)
-        if owed or connected or self.upgrade.passing or self.frontend.somebody_waits():
+        if owed or connected or self.upgrade.passing or self.frontend.has_backlog():
             self._quiet_since = None
         elif self._quiet_since is None:
             self._quiet_since = self.loop.now
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -240,7 +240,7 @@
         """Hand over an idle connection to a worker."""
         self._send(Outgoing(str(address), idle_since // MICROSECOND), sock)
 
-    def pass_call_back(self, body: bytes, done: Callable[[bool], None]) -> None:
+    def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
         """Hand over a call-back; ``done`` hears whether its job is known there."""
         self._ask(lambda number: CallBack(number, body), done)
 
