--- a/carthinge/__main__.py
+++ b/carthinge/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m carthinge`` serves, the sub-commands do what else is useful."""
+"""Entry point: ``python -m carthinge`` serves; everything else is a sub-command."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 
 
 def main() -> None:
-    """Runs what the command line asks for.
+    """Run the command given on the command line, or serve if there is none.
 
-    Guards against the command line's library in the start of a scheduler that was killed: it serves again the
-    later for it, and needs no word on the line.
+    Without arguments the command-line library is not imported, so that a restarted scheduler serves sooner.
     """
     if len(sys.argv) == 1:
         from carthinge.serving import serve
--- a/carthinge/scheduler/__init__.py
+++ b/carthinge/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""One scheduler put together from all parts: its start, its turns, an upgrade, its end."""
+"""The scheduler assembled from its parts: start, event loop, upgrade and shutdown."""
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -1,4 +1,4 @@
-"""What each of two processes of a scheduler does for the other while one takes over: passes on, adopts."""
+"""Carries out an upgrade in both processes: hands over state and connections, and adopts them."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     from carthinge.durable.jobs import DurableJobs
     from carthinge.scheduler.fleet_link import FleetLink
 
-LEAST_PLACES: Final = 8  # however many the process before this one holds still
-OTHER: Final = -1  # the other process, as the sender of what it has at the workers
+MIN_CLIENT_SLOTS: Final = 8  # however many the previous process still holds
+PEER: Final = -1  # sender of the other process's load at the workers
 
 
 class HandoverPeer:
-    """This process as the other one sees it."""
+    """This process as its peer sees it during an upgrade."""
 
     def __init__(
         self,
@@ -44,12 +44,12 @@
         frontend: Frontend,
         durable: DurableJobs | None,
         config: Callable[[], Config],
-        begin: Callable[[State | None], None],
-        by_hand_here: Callable[[str, bool, bool], bool],
+        start_serving: Callable[[State | None], None],
+        set_excluded_here: Callable[[str, bool, bool], bool],
     ) -> None:
-        """``begin`` and ``by_hand_here``: what the program does of what :class:`Upgrade` asks for."""
-        self.begin = begin
-        self.by_hand_here = by_hand_here
+        """``start_serving`` and ``set_excluded_here``: implemented by the program."""
+        self.start_serving = start_serving
+        self.set_excluded_here = set_excluded_here
         self._loop = loop
         self._upgrade = upgrade
         self._table = table
@@ -60,10 +60,10 @@
         self._durable = durable
         self._config = config
         self.fleet: FleetLink | None = None
-        self._most_in, self._most_out = frontend.slots.most, worker_client.most
+        self._max_slots, self._max_outgoing = frontend.slots.most, worker_client.most
 
     def state(self) -> State:
-        """Return what the process that takes over goes on from."""
+        """Return the state that the successor goes on from."""
         config = self._config()
         site = config.site
         return State(
@@ -76,15 +76,15 @@
             site.kinds,
         )
 
-    def leave(self, leaving: bool) -> None:
+    def set_leaving(self, leaving: bool) -> None:
         """Stop serving new clients, or serve them again."""
         self._tracker.tell(Leave(leaving))
-        if self.fleet is not None:  # the other process talks in this one's place
+        if self.fleet is not None:  # the other process talks to the fleet in place of this one
             self.fleet.close(leave=False) if leaving else self.fleet.open()
         if leaving:
-            self._worker_client.most = self._most_out // 2
+            self._worker_client.most = self._max_outgoing // 2
         else:
-            self.alone()
+            self.peer_ended()
             if self._frontend.draining is None:
                 self._frontend.resume_accepting()
             if self._durable is not None:
@@ -98,32 +98,35 @@
         self._frontend.handle_deferred()
 
     @property
-    def needs_word(self) -> bool:
-        """Whether the process that takes over can still fail at that."""
+    def needs_confirmation(self) -> bool:
+        """Whether the successor has to confirm that it serves, as it may fail to open the store."""
         return self._durable is not None
 
-    def let_go(self, done: Callable[[bool], None]) -> None:
-        """New connections are taken in until then: workers that call back must not wait for the other."""
+    def release_store(self, done: Callable[[bool], None]) -> None:
+        """Release the store, if any; ``done`` is called with whether the successor may open it.
 
-        def gone(free: bool) -> None:
+        New connections are accepted until then, so that worker callbacks do not wait for the successor.
+        """
+
+        def released(free: bool) -> None:
             if free:
                 self._frontend.pause_accepting()
             done(free)
 
         if self._durable is None:
-            gone(True)
+            released(True)
         else:
             from carthinge.durable.handover import HandOver
 
-            HandOver(self._durable, self._worker_client.calling, gone)
+            HandOver(self._durable, self._worker_client.calling, released)
 
-    def alone(self) -> None:
-        """All slots and descriptors are this process's again."""
-        self._frontend.slots.most, self._worker_client.most = self._most_in, self._most_out
+    def peer_ended(self) -> None:
+        """Use all slots and descriptors again, as the other process has ended."""
+        self._frontend.slots.most, self._worker_client.most = self._max_slots, self._max_outgoing
 
-    def call_back(self, body: bytes, known: Callable[[bool], None]) -> None:
-        """Take a call-back that came to the other process."""
-        self._frontend.call_backs.handle_forwarded(body, known)
+    def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
+        """Handle a callback that the other process received."""
+        self._frontend.call_backs.handle_forwarded(body, done)
 
     def adopt_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
         """Take over a client's connection."""
@@ -136,7 +139,7 @@
         )
 
     def adopt_open(self, sock: socket.socket, tracked: Open) -> None:
-        """The client waits here from now on, and call-backs for its job are looked for here."""
+        """Take over an open request with its client; callbacks for its job are handled here from now on."""
         client = self._frontend.adopt_open(sock, tracked.keep_alive)
         job = Job(tracked.id, tracked.subject, tracked.body, tuple(tracked.headers))
         taken = TrackedRequest(
@@ -169,30 +172,33 @@
         """Take over an idle connection to a worker."""
         self._worker_client.adopt(sock, address, idle_since)
 
-    def beat(self) -> Beat:
-        """Return what this process holds just now."""
+    def heartbeat(self) -> Beat:
+        """Return the current load of this process."""
         return Beat(len(self._frontend.slots), self._dispatcher.loads())
 
-    def heard(self, beat: Beat | None) -> None:
-        """Take what the other process holds, None once it has gone."""
-        self._tracker.tell(Message(OTHER, beat.loads if beat is not None else b""))
-        if beat is not None and not self._upgrade.leaving:
-            self.share(beat.slots)
+    def handle_heartbeat(self, heartbeat: Beat | None) -> None:
+        """Note the load of the other process, None once it has ended."""
+        self._tracker.tell(Message(PEER, heartbeat.loads if heartbeat is not None else b""))
+        if heartbeat is not None and not self._upgrade.leaving:
+            self.share_descriptors(heartbeat.slots)
+
+    def share_descriptors(self, slots: int) -> None:
+        """Reduce the limits by the client slots that the old process still holds; both count together."""
+        self._frontend.slots.most = max(MIN_CLIENT_SLOTS, self._max_slots - slots)
+        self._worker_client.most = self._max_outgoing // 2
 
-    def share(self, slots: int) -> None:
-        """Descriptors are counted together: the old process keeps so many of the slots for a while."""
-        self._frontend.slots.most = max(LEAST_PLACES, self._most_in - slots)
-        self._worker_client.most = self._most_out // 2
+    def hand_over_ready(self) -> None:
+        """Hand over everything that is ready for it.
 
-    def pass_on_all_at_rest(self) -> None:
-        """To be called when all that has come up is decided on: what the module knows is then complete."""
+        Called when all events are decided on, so that the state of the dispatcher is complete.
+        """
         for sock, incoming in self._frontend.release_idle():
-            self._upgrade.pass_incoming(sock, incoming)
+            self._upgrade.hand_over_incoming(sock, incoming)
         if self._durable is not None:
             for sock, incoming in self._frontend.release_put_off():
-                self._upgrade.pass_incoming(sock, incoming)
+                self._upgrade.hand_over_incoming(sock, incoming)
             for sock, waiting in self._frontend.release_waiting():
-                self._upgrade.pass_waiting(sock, waiting)
+                self._upgrade.hand_over_waiting(sock, waiting)
         for tracked in list(self._tracker.tracked_requests.values()):
             client = tracked.client
             if not (tracked.owed and isinstance(client, ClientConnection) and client.awaits_answer()):
@@ -201,11 +207,11 @@
                 attempt.arrived and not (attempt.leaving or self._worker_client.calling(attempt))
                 for attempt in tracked.out()
             ):
-                self._pass_on(tracked, client)
+                self._hand_over(tracked, client)
         for sock, address, idle_since in self._worker_client.release_idle():
-            self._upgrade.pass_outgoing(sock, address, idle_since)
+            self._upgrade.hand_over_outgoing(sock, address, idle_since)
 
-    def _pass_on(self, tracked: TrackedRequest, client: ClientConnection) -> None:
+    def _hand_over(self, tracked: TrackedRequest, client: ClientConnection) -> None:
         job = tracked.job
         attempts = [
             OpenAttempt(
@@ -218,7 +224,7 @@
             )
             for sent in tracked.attempts
         ]
-        passed = Open(
+        request = Open(
             job.id,
             job.subject,
             job.body,
@@ -231,4 +237,4 @@
             job_memory(self._dispatcher, tracked.number),
         )
         self._tracker.give_away(tracked)
-        self._upgrade.pass_open(client.release(), passed)
+        self._upgrade.hand_over_open(client.release(), request)
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -1,4 +1,4 @@
-"""The running scheduler: all parts put together, turn by turn from the first to the last."""
+"""The running scheduler: assembles all parts and runs the event loop until the end."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     from carthinge.durable.jobs import DurableJobs
     from carthinge.durable.records import Accepted
 
-SWITCH_INTERVAL: Final = timedelta(microseconds=250)  # for the store's thread, which needs little at a time
-COLLECTIONS: Final = (20_000, 50, 100)  # durable jobs are many and live long
-SPARE_SOCKETS: Final = 48  # of the limit: for the listener, discovery, the log and what the runtime holds
+SWITCH_INTERVAL: Final = timedelta(microseconds=250)  # the store's thread needs only short time slices
+GC_THRESHOLDS: Final = (20_000, 50, 100)  # durable jobs are many and long-lived
+RESERVED_SOCKETS: Final = 48  # of the limit: the listener, discovery, the log and the runtime
 BACKLOG: Final = 1024
-WORKER_CONNECTIONS_SHARE: Final = 0.4  # of the rest: a call holds its connection only until the 202
-QUIET: Final = timedelta(milliseconds=300)  # with nothing owed, before the program ends
-SETTLE: Final = timedelta(milliseconds=1)  # any wait will do: processor time that is owed comes due in it
-BOOT: Final = Path("/proc/sys/kernel/random/boot_id")
+WORKER_CONNECTIONS_SHARE: Final = 0.4  # of the rest; a worker's connection is in use only until the 202
+QUIET_DURATION: Final = timedelta(milliseconds=300)  # without work, before the program ends
+LISTEN_DELAY: Final = timedelta(milliseconds=1)  # any wait will do: throttling of CPU time takes effect in it
+BOOT_ID_PATH: Final = Path("/proc/sys/kernel/random/boot_id")
 
 
 class Program:
-    """One scheduler from its start to its end."""
+    """One scheduler, from start to end."""
 
     def __init__(self, config: Config, reload: Callable[[Config], Config]) -> None:
         self.config = config
@@ -64,9 +64,9 @@
         self.tracker = RequestTracker(self.loop, self.dispatcher, self.table.targets, self.counters)
         self.tracker.ended.name(config.site.classes)
         descriptors = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        rest = max(16, descriptors - SPARE_SOCKETS - (MAX_CONNECTIONS if config.operator else 0))
-        out = int(rest * WORKER_CONNECTIONS_SHARE)
-        self.worker_client = WorkerClient(self.loop, config.site, self.tracker, self.counters, out)
+        available = max(16, descriptors - RESERVED_SOCKETS - (MAX_CONNECTIONS if config.operator else 0))
+        outgoing = int(available * WORKER_CONNECTIONS_SHARE)
+        self.worker_client = WorkerClient(self.loop, config.site, self.tracker, self.counters, outgoing)
         self.upgrade = Upgrade(self.loop, str(config.listen))
         self.frontend = Frontend(
             self.loop,
@@ -74,12 +74,12 @@
             self.tracker,
             self.worker_client,
             self.counters,
-            rest - out,
+            available - outgoing,
             lambda: bool(self.table.ready),
             self.upgrade,
         )
         self.watch = DiscoveryWatch(
-            self.loop, config.discovery, self.table, config.site, self.counters, self._listed
+            self.loop, config.discovery, self.table, config.site, self.counters, self._on_worker_list
         )
         self.tracker.target = self.worker_client
         self.tracker.watch = self.watch.start
@@ -99,10 +99,10 @@
             self.frontend,
             self.durable,
             lambda: self.config,
-            self.begin,
-            self.by_hand_here,
+            self.start_serving,
+            self.set_excluded_here,
         )
-        self.upgrade.scheduler = self.handover_peer
+        self.upgrade.handler = self.handover_peer
         if config.options.fleet.listen:
             from carthinge.scheduler.fleet_link import FleetLink
 
@@ -115,18 +115,18 @@
         self._over = False
 
     def _make_durable(self) -> None:
-        """Loads the parts that only durable jobs need."""
+        """Create the parts that only durable jobs need."""
         from carthinge.durable.jobs import DurableJobs
         from carthinge.front.durable_front import DurableFront
 
         sys.setswitchinterval(SWITCH_INTERVAL.total_seconds())
-        gc.set_threshold(*COLLECTIONS)
+        gc.set_threshold(*GC_THRESHOLDS)
         options = self.config.options
         self.durable = DurableJobs(
             self.loop,
             self.tracker,
             options,
-            BOOT.read_text().strip(),
+            BOOT_ID_PATH.read_text().strip(),
             self._terms_of,
             lambda number: self.dispatcher.fleet.workers[number].entry,
             self.table.target,
@@ -135,37 +135,37 @@
         self.worker_client.lease = options.leases.duration
         self.frontend.durable = DurableFront(self.loop, self.durable, lambda: self.frontend.max_retry_after)
 
-    def _terms_of(self, accepted: Accepted, patience: timedelta) -> Terms | None:
-        """A stored job by the settings of now; None where its class or tenant is not in them."""
+    def _terms_of(self, accepted: Accepted, remaining: timedelta) -> Terms | None:
+        """Return the terms of a stored job by the current settings; None if its class or tenant is gone."""
         translator = self.frontend.translator
         job_class, tenant = translator.job_class(accepted.class_name), translator.tenant(accepted.tenant)
         if job_class is None or tenant is None:
             return None
-        known = accepted.terms
-        hint = None if known.hint_us is None else known.hint_us * MICROSECOND
+        stored = accepted.terms
+        hint = None if stored.hint_us is None else stored.hint_us * MICROSECOND
         return Terms(
             job_class,
             accepted.class_name,
             tenant,
             accepted.tenant,
-            patience,
-            known.key,
+            remaining,
+            stored.key,
             hint,
-            known.slots,
-            known.memory,
+            stored.slots,
+            stored.memory,
             effect=translator.effect(accepted.class_name),
         )
 
     def run(self) -> None:
-        """Serves until SIGTERM or SIGINT has come and all that was taken is answered.
+        """Serve until SIGTERM or SIGINT was received and all accepted requests are answered.
 
-        OSError where it cannot listen, StoreError where the store of durable jobs cannot be used.
+        Raises OSError if it cannot listen, StoreError if the store of durable jobs cannot be used.
         """
-        self._take_signals()
+        self._install_signal_handlers()
         if self.config.operator is not None:
             self.operator = Operator(self.loop, self.config.operator, self, self.counters)
         limits = self.config.limits
-        # Before anything waits for an answer here: the first line of a log costs more than many after it.
+        # Logged before any request can wait: the first log line costs more than many later ones.
         log.logger().info(
             "starting",
             instances=self.config.site.decisions.instances,
@@ -179,7 +179,7 @@
             self.loop.turn(idle=not self.tracker.events)
             self.tracker.decide()
             if self.upgrade.handed_over and not self.tracker.events:
-                self.handover_peer.pass_on_all_at_rest()
+                self.handover_peer.hand_over_ready()
         if self.durable is not None and not self.durable.close():
             log.logger().error("store_not_written", open=self.durable.limits.open)
         self.watch.stop()
@@ -191,8 +191,8 @@
         owed = sum(e.owed and e.keeper is None for e in self.tracker.tracked_requests.values())
         log.logger().info("stopped", unanswered=owed, **self.counters.as_dict())
 
-    def begin(self, state: State | None) -> None:
-        """Starts to serve, where another process does from what it has told."""
+    def start_serving(self, state: State | None) -> None:
+        """Start serving, from the state of the previous process if there is one."""
         if state is None:
             self.tracker.tell(self.table.take(self.config.known, Listing.CACHED))
         else:
@@ -208,7 +208,7 @@
                 )
             )
             self.tracker.tell(self.table.go_on(state))
-            self.handover_peer.share(0)
+            self.handover_peer.share_descriptors(0)
         if self.durable is not None:
             self.durable.open()
         if self.fleet is not None:
@@ -218,20 +218,21 @@
         if self.config.site.pushed:
             self.watch.begin(self.config.site, listen)
         elif state is None:
-            self.loop.call_after(SETTLE, listen)
+            self.loop.call_after(LISTEN_DELAY, listen)
         else:
             listen()
 
-    def _listed(self, event: WorkerList) -> None:
-        """News of the list: the module hears of it before it hears of attempts that it stops."""
+    def _on_worker_list(self, event: WorkerList) -> None:
+        """Report the worker list to the dispatcher before the attempts that it stops."""
         self.tracker.tell(event)
         self.worker_client.stop_unsent()
 
     def _listen(self, taken_over: bool) -> None:
-        """The last act of a start, in a turn of its own: what comes in from now on is read at once.
+        """Listen, as the last step of the start and in a turn of its own.
 
-        Guards against requests that wait in the backlog while a platform that meters the processor still
-        has this process pay for its start: their clients' time runs, and nobody here knows since when.
+        A platform that meters CPU time may throttle this process for the cost of its start.  If it listened
+        before that, requests would wait in the backlog with their deadlines running, since a time
+        that is unknown here.
         """
         if not self.tracker.invariants.start():
             return
@@ -250,14 +251,14 @@
             taken_over=taken_over,
         )
 
-    # ---- what operators ask for -----------------------------------------------------------
+    # ---- operators ------------------------------------------------------------------------
 
     def serving(self) -> bool:
-        """Whether the scheduler takes work."""
+        """Whether the scheduler accepts jobs."""
         return self._serving and self.frontend.up()
 
     def metrics(self) -> dict[str, Any]:
-        """Return the figures for ``/metrics``."""
+        """Return the values for ``/metrics``."""
         ended, counters, fleet = self.tracker.ended, self.counters, self.dispatcher.fleet
         return {
             "served": ended.served,
@@ -274,33 +275,33 @@
             **({"fleet": self.fleet.figures()} if self.fleet is not None else {}),
         }
 
-    def set_excluded(self, worker: str, out: bool, done: Callable[[bool], None]) -> None:
-        """Carried out at both processes, where there are two, before it is answered."""
-        known = self.by_hand_here(worker, out, sure=False)
+    def set_excluded(self, worker: str, excluded: bool, done: Callable[[bool], None]) -> None:
+        """Exclude or re-admit a worker, at both processes during an upgrade, before it is answered."""
+        known = self.set_excluded_here(worker, excluded, confirmed=False)
         if not self.upgrade.paired:
             done(known)
             return
 
-        def elsewhere(known_there: bool) -> None:
-            done(known or (known_there and self.by_hand_here(worker, out, sure=True)))
+        def on_peer_result(known_there: bool) -> None:
+            done(known or (known_there and self.set_excluded_here(worker, excluded, confirmed=True)))
 
-        self.upgrade.pass_by_hand(worker, out, known, elsewhere)
+        self.upgrade.forward_set_excluded(worker, excluded, known, on_peer_result)
 
-    def by_hand_here(self, worker: str, out: bool, sure: bool) -> bool:
-        """The module hears of it in this turn, before it decides on anything else."""
+    def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
+        """Apply an exclusion in this process, before the dispatcher makes its next decision."""
         number = number_of(worker)
-        known = sure or worker in self.table.listed or number in self.dispatcher.fleet.out
+        known = confirmed or worker in self.table.listed or number in self.dispatcher.fleet.out
         if known:
-            log.logger().info("worker_out" if out else "worker_back", worker=worker)
-            self.tracker.tell(ByHand(number, out))
+            log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
+            self.tracker.tell(ByHand(number, excluded))
             if number in self.table.targets:
                 self.worker_client.close_idle(self.table.targets[number].address)
         return known
 
     # ---- signals --------------------------------------------------------------------------
 
-    def _take_signals(self) -> None:
-        """Signals come as bytes on a socket, so that they are handled in a turn like all else."""
+    def _install_signal_handlers(self) -> None:
+        """Receive signals as bytes on a socket, so that the event loop handles them in a turn."""
         wake_in, wake_out = socket.socketpair()
         wake_in.setblocking(False)
         wake_out.setblocking(False)
@@ -319,15 +320,15 @@
             self._drain()
 
     def _reload(self) -> None:
-        """Discovery may move and the settings may change while the program runs; the rest waits for a start.
+        """Apply a changed discovery address and changed settings; everything else needs a restart.
 
-        The file is read and checked whole before anything of it is applied.
+        The file is read and validated as a whole before any of it is applied.
         """
         try:
             config = self._reload_config(self.config)
-        except ConfigError as fault:
+        except ConfigError as error:
             self.counters.reloads_failed += 1
-            log.logger().error("reload_failed", why=str(fault), discovery=str(self.config.discovery))
+            log.logger().error("reload_failed", why=str(error), discovery=str(self.config.discovery))
             return
         self.counters.reloads_ok += 1
         log.logger().info(
@@ -365,34 +366,34 @@
             self.fleet.close(leave=not self.upgrade.leaving)
         decisions = self.config.site.decisions
         longest = max(spec.deadline for spec in decisions.classes) * MICROSECOND
-        # The signal came no earlier than that: SIGKILL follows it, however late it was heard.
+        # From the earliest arrival of the signal: SIGKILL follows it, however late it is handled.
         drain = drain_schedule(
             self.loop.since, longest, alone=decisions.instances == 1, leaving=self.upgrade.leaving
         )
         self.frontend.draining = drain
-        if self.frontend.durable is not None:  # what is open goes on after the next start
+        if self.frontend.durable is not None:  # open jobs go on after the next start
             self.loop.call_at(drain.answered_by, self.frontend.durable.answer_all_pending)
-        self.loop.call_at(self.loop.now if self.upgrade.leaving else drain.kept_until, self._check_over)
+        self.loop.call_at(self.loop.now if self.upgrade.leaving else drain.kept_until, self._check_drained)
 
-    def _check_over(self) -> None:
-        """Ends once nothing has been under way for a little while: what is on its way here is taken still."""
-        if not self.upgrade.leaving:  # else they go to the process that has taken over
+    def _check_drained(self) -> None:
+        """End after QUIET_DURATION without work; requests that arrive until then are still accepted."""
+        if not self.upgrade.leaving:  # otherwise they are handed over to the new process
             self.frontend.close_idle()
         owed = any(tracked.keeper is None for tracked in self.tracker.tracked_requests.values())
         connected = len(self.frontend.slots) > 0
         front, drain = self.frontend.durable, self.frontend.draining
         if front is not None and drain is not None and self.loop.now >= drain.answered_by:
-            # Workers go on calling back about durable jobs: those are the next process's.
+            # Workers still call back about durable jobs, which the next process handles.
             connected = bool(front.waiting)
-        if owed or connected or self.upgrade.passing or self.frontend.has_backlog():
+        if owed or connected or self.upgrade.has_unsent or self.frontend.has_backlog():
             self._quiet_since = None
         elif self._quiet_since is None:
             self._quiet_since = self.loop.now
-        elif self.loop.now >= self._quiet_since + QUIET:
+        elif self.loop.now >= self._quiet_since + QUIET_DURATION:
             self._over = True
             return
-        self.loop.call_after(timedelta(milliseconds=50), self._check_over)
+        self.loop.call_after(timedelta(milliseconds=50), self._check_drained)
 
 
 def _ignore(number: int, frame: FrameType | None) -> None:
-    """The wake-up socket has the signal already."""
+    """Do nothing: the wake-up socket has received the signal already."""
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one scheduler, the old and the new, while one takes over from the other."""
+"""Upgrade: a new process of a scheduler takes over from the old one."""
 
 from __future__ import annotations
 
@@ -33,38 +33,42 @@
 from carthinge.net.loop import MICROSECOND, READ, Loop, Timer
 from carthinge.net.sockets import NOT_READY
 
-STATE_WITHIN: Final = timedelta(seconds=2)  # of asking to take over; else the other is taken for stuck
-BEAT: Final = timedelta(milliseconds=100)  # how often each tells the other what it has at the workers
-DONE_WITHIN: Final = timedelta(milliseconds=500)  # of passing a call on; operators are owed an answer in 1 s
+STATE_TIMEOUT: Final = timedelta(seconds=2)  # after Hello; then the old process is considered stuck
+HEARTBEAT_INTERVAL: Final = timedelta(
+    milliseconds=100
+)  # between reports of each process's load at the workers
+FORWARD_TIMEOUT: Final = timedelta(
+    milliseconds=500
+)  # for a forwarded call; operators need an answer within 1 s
 
 
-class Scheduler(Protocol):
-    """What the process on the other side of the channel may want of this one."""
+class HandoverHandler(Protocol):
+    """What the peer process can request from this one."""
 
     def state(self) -> State:
-        """Return what the process that takes over goes on from."""
+        """Return the state that the successor goes on from."""
 
-    def begin(self, state: State | None) -> None:
-        """Starts to serve, from the other's state or, without one, alone."""
+    def start_serving(self, state: State | None) -> None:
+        """Start serving, from the predecessor's state if there is one."""
 
-    def leave(self, leaving: bool) -> None:
-        """The other serves new clients from now on, or, where not ``leaving``, this one does again."""
+    def set_leaving(self, leaving: bool) -> None:
+        """Leave new clients to the successor or, if not ``leaving``, serve them again."""
 
     @property
-    def needs_word(self) -> bool:
-        """The one who takes over can fail at that still, and says when it has not."""
+    def needs_confirmation(self) -> bool:
+        """Whether the successor can still fail to take over, and has to confirm that it serves."""
 
-    def let_go(self, done: Callable[[bool], None]) -> None:
-        """Frees what only one process can have; ``done`` hears whether the other may have it now."""
+    def release_store(self, done: Callable[[bool], None]) -> None:
+        """Release the store, which only one process can have; calls ``done`` with whether it is free."""
 
-    def alone(self) -> None:
-        """The process before this one has ended."""
+    def peer_ended(self) -> None:
+        """Note that the predecessor has ended."""
 
-    def call_back(self, body: bytes, known: Callable[[bool], None]) -> None:
-        """A call-back that came to the other; ``known`` hears False where its job is not here."""
+    def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
+        """Handle a callback that the peer received; calls ``done`` with whether its job is known here."""
 
-    def by_hand_here(self, worker: str, out: bool, sure: bool) -> bool:
-        """Take a worker out or put it back; return whether it is known."""
+    def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
+        """Exclude or re-admit a worker; return whether it is known."""
 
     def adopt_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
         """Take over a client's connection."""
@@ -78,16 +82,16 @@
     def adopt_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Take over an idle connection to a worker."""
 
-    def beat(self) -> Beat:
-        """Return what this process holds just now."""
+    def heartbeat(self) -> Beat:
+        """Return the current load of this process."""
 
-    def heard(self, beat: Beat | None) -> None:
-        """What the other holds; nothing once it has gone."""
+    def handle_heartbeat(self, heartbeat: Beat | None) -> None:
+        """Note the load of the peer; None once it has ended."""
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Iterator[str]:
-    """The same path by way of its folder's descriptor: a Unix socket's may have 107 bytes and no more."""
+def _short_path(path: Path) -> Iterator[str]:
+    """Yield a path through the folder's descriptor, since a Unix socket's path is limited to 107 bytes."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -96,67 +100,67 @@
 
 
 class Upgrade:
-    """Finds the process that serves already, and is found by the one that comes next."""
+    """Finds the predecessor, if there is one, and is found by the successor."""
 
-    scheduler: Scheduler  #: to be set before the other process is looked for
+    handler: HandoverHandler  #: must be set before ``find`` is called
 
     def __init__(self, loop: Loop, name: str) -> None:
         self._loop = loop
-        folder = os.environ.get("TMPDIR")  # private to one scheduler; without it there is no other process
+        folder = os.environ.get("TMPDIR")  # private to one scheduler; without it upgrades are not possible
         self._path = Path(folder, f"carthinge-{name.replace(':', '-')}") if folder else None
         self._listener: socket.socket | None = None
         self._inode = 0
         self._channel: Channel | None = None
-        self._taking_over = False  # this is the new one, and the old one is there still
-        self._leaving = False  # this is the old one
-        self._handed_over = False  # and the new one serves
-        self._patience: Timer | None = None
-        self._number = 0
-        self._waiting: dict[int, Callable[[bool], None]] = {}
+        self._taking_over = False  # this is the successor, and the predecessor still runs
+        self._leaving = False  # this is the predecessor
+        self._handed_over = False  # and the successor serves
+        self._state_timer: Timer | None = None
+        self._last_number = 0
+        self._pending: dict[int, Callable[[bool], None]] = {}
 
     @property
     def paired(self) -> bool:
-        """Another process of this scheduler is there."""
+        """Whether another process of this scheduler is connected."""
         return self._channel is not None
 
     @property
-    def passing(self) -> bool:
-        """Something is on its way to the other still."""
+    def has_unsent(self) -> bool:
+        """Whether messages to the peer are still unsent."""
         return self._channel is not None and self._channel.unsent
 
     @property
     def leaving(self) -> bool:
-        """Whether this is the old process."""
+        """Whether this is the predecessor."""
         return self._leaving
 
     @property
     def handed_over(self) -> bool:
-        """The new process takes what is passed on to it."""
+        """Whether the successor accepts what is handed over to it."""
         return self._handed_over
 
-    # ---- finding each other ---------------------------------------------------------------
+    # ---- connecting -----------------------------------------------------------------------
 
     def find(self) -> None:
-        """Asks the process that serves to hand over, if there is one; begins alone if not."""
+        """Ask a running process to hand over; start serving at once if there is none."""
         if self._path is None:
-            self.scheduler.begin(None)
+            self.handler.start_serving(None)
             return
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            with _short(self._path) as path:
+            with _short_path(self._path) as path:
                 sock.connect(path)
-        except OSError:  # nobody has been there, or it has died and left its socket
+        except OSError:  # no process has run, or it died and left its socket behind
             sock.close()
-            self.scheduler.begin(None)
+            self.handler.start_serving(None)
             return
         self._taking_over = True
-        self._open(sock)
-        self._patience = self._loop.call_after(STATE_WITHIN, self._give_up)
+        self._open_channel(sock)
+        self._state_timer = self._loop.call_after(STATE_TIMEOUT, self._state_timed_out)
         self._send(Hello(FORMAT))
 
     def listen(self) -> None:
-        """Takes the place of whoever was found there before, in one step."""
+        """Listen for a successor, replacing the predecessor's socket atomically."""
         if self._path is None:
             return
         new = self._path.with_name(f"{self._path.name}.{os.getpid()}")
@@ -164,14 +168,14 @@
         try:
             with contextlib.suppress(FileNotFoundError):
                 new.unlink()
-            with _short(new) as path:
+            with _short_path(new) as path:
                 sock.bind(path)
             sock.listen(4)
             self._inode = new.stat().st_ino
             new.rename(self._path)
-        except OSError as fault:
+        except OSError as error:
             sock.close()
-            log.logger().warning("no_upgrade", why=str(fault), path=str(self._path))
+            log.logger().warning("no_upgrade", why=str(error), path=str(self._path))
             return
         sock.setblocking(False)
         self._listener = sock
@@ -181,11 +185,11 @@
         """Close the channel and stop listening."""
         if self._channel is not None:
             self._channel.close()
-        self._end_listening()
+        self._stop_listening()
 
-    def _end_listening(self) -> None:
+    def _stop_listening(self) -> None:
         if self._listener is not None:
-            with contextlib.suppress(KeyError):  # it rests
+            with contextlib.suppress(KeyError):  # accepting is paused
                 self._loop.forget(self._listener)
             self._loop.sockets.close(self._listener)
             self._listener = None
@@ -199,164 +203,166 @@
             sock = self._loop.sockets.accept(self._listener)
         except NOT_READY:
             return
-        except OSError as fault:  # it stays ready, and the loop would turn for nothing
-            log.logger().warning("upgrade_paused", why=str(fault))
+        except OSError as error:  # it stays readable, which would make the loop spin
+            log.logger().warning("upgrade_paused", why=str(error))
             self._loop.forget(self._listener)
             self._loop.call_after(ACCEPT_PAUSE, partial(self._accept_again, self._listener))
             return
-        if self._channel is not None:  # one at a time
+        if self._channel is not None:  # one peer at a time
             sock.close()
             return
-        self._open(sock)
+        self._open_channel(sock)
 
     def _accept_again(self, listener: socket.socket) -> None:
         if self._listener is listener:
             self._loop.register(listener, READ, self._accept)
 
-    def _open(self, sock: socket.socket) -> None:
-        self._channel = Channel(self._loop, sock, self._received, self._lost)
+    def _open_channel(self, sock: socket.socket) -> None:
+        self._channel = Channel(self._loop, sock, self._received, self._on_peer_lost)
 
-    def _give_up(self) -> None:
-        """Guards against an old process that is stuck: what it holds cannot be had."""
+    def _state_timed_out(self) -> None:
+        """Start without the state of a predecessor that is stuck."""
         if self._channel is not None and self._taking_over:
             self._channel.close()
-            self._lost([])
+            self._on_peer_lost([])
 
     # ---- messages -------------------------------------------------------------------------
 
-    def pass_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
+    def hand_over_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
         """Hand over a client's connection."""
         self._send(incoming, sock)
 
-    def pass_waiting(self, sock: socket.socket, waiting: Waiting) -> None:
+    def hand_over_waiting(self, sock: socket.socket, waiting: Waiting) -> None:
         """Hand over a connection whose client waits for a durable job."""
         self._send(waiting, sock)
 
-    def pass_open(self, sock: socket.socket, tracked: Open) -> None:
+    def hand_over_open(self, sock: socket.socket, tracked: Open) -> None:
         """Hand over an open request with its connection."""
         self._send(tracked, sock)
 
-    def pass_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
+    def hand_over_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Hand over an idle connection to a worker."""
         self._send(Outgoing(str(address), idle_since // MICROSECOND), sock)
 
     def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
-        """Hand over a call-back; ``done`` hears whether its job is known there."""
-        self._ask(lambda number: CallBack(number, body), done)
-
-    def pass_by_hand(self, worker: str, out: bool, sure: bool, done: Callable[[bool], None]) -> None:
-        """Hand over an operator's call; ``done`` hears whether the worker is known there."""
-        self._ask(lambda number: ByHandCall(number, worker, out, sure), done)
-
-    def _ask(self, message: Callable[[int], Message], done: Callable[[bool], None]) -> None:
-        self._number += 1
-        number = self._number
-        self._waiting[number] = done
-        self._loop.call_after(DONE_WITHIN, lambda: self._done(number, False))
+        """Forward a callback; calls ``done`` with whether its job is known at the peer."""
+        self._request(lambda number: CallBack(number, body), done)
+
+    def forward_set_excluded(
+        self, worker: str, excluded: bool, confirmed: bool, done: Callable[[bool], None]
+    ) -> None:
+        """Forward an operator's call; calls ``done`` with whether the worker is known at the peer."""
+        self._request(lambda number: ByHandCall(number, worker, excluded, confirmed), done)
+
+    def _request(self, message: Callable[[int], Message], done: Callable[[bool], None]) -> None:
+        self._last_number += 1
+        number = self._last_number
+        self._pending[number] = done
+        self._loop.call_after(FORWARD_TIMEOUT, lambda: self._resolve(number, False))
         self._send(message(number))
 
-    def _send(self, message: Message, along: socket.socket | None = None) -> None:
+    def _send(self, message: Message, attached: socket.socket | None = None) -> None:
         assert self._channel is not None
-        self._channel.send(message, along)
+        self._channel.send(message, attached)
 
     def _answer(self, number: int, known: bool) -> None:
         if self._channel is not None:
             self._send(Done(number, known))
 
-    def _done(self, number: int, known: bool) -> None:
-        done = self._waiting.pop(number, None)
+    def _resolve(self, number: int, known: bool) -> None:
+        done = self._pending.pop(number, None)
         if done is not None:
             done(known)
 
-    def _received(self, message: Message, along: socket.socket | None) -> None:
-        scheduler = self.scheduler
+    def _received(self, message: Message, attached: socket.socket | None) -> None:
+        handler = self.handler
         match message:
-            case Hello(format=spoken):
-                if spoken == FORMAT:
-                    self._loop.soon(self._hand_over)  # once all that has come up is decided on
+            case Hello(format=peer_format):
+                if peer_format == FORMAT:
+                    self._loop.soon(self._hand_over)  # after decisions on all pending events
                 elif self._channel is not None:
                     self._channel.close()
                     self._channel = None
             case State():
-                if self._patience is not None:
-                    self._patience.cancel()
-                    self._patience = None
-                    scheduler.begin(message)
-                    if scheduler.needs_word:
+                if self._state_timer is not None:
+                    self._state_timer.cancel()
+                    self._state_timer = None
+                    handler.start_serving(message)
+                    if handler.needs_confirmation:
                         self._send(Begun())
-                    self._beat()
+                    self._send_heartbeat()
             case Begun():
                 self._handed_over = self._leaving
-            case Incoming() | Waiting() | Open() | Outgoing() if along is not None:
-                self._adopt(message, along)
+            case Incoming() | Waiting() | Open() | Outgoing() if attached is not None:
+                self._adopt(message, attached)
             case CallBack(number=number, body=body):
-                scheduler.call_back(body, partial(self._answer, number))
-            case ByHandCall(number=number, worker=worker, out=out, sure=sure):
-                self._send(Done(number, scheduler.by_hand_here(worker, out, sure)))
+                handler.handle_callback(body, partial(self._answer, number))
+            case ByHandCall(number=number, worker=worker, out=excluded, sure=confirmed):
+                self._send(Done(number, handler.set_excluded_here(worker, excluded, confirmed)))
             case Done(number=number, known=known):
-                self._done(number, known)
+                self._resolve(number, known)
             case Beat():
-                scheduler.heard(message)
+                handler.handle_heartbeat(message)
 
     def _adopt(self, message: Message, sock: socket.socket) -> None:
-        """Guards against one connection that this machine has no room for taking all others with it."""
+        """Adopt a connection; an OSError affects only this connection and not the others."""
         try:
             match message:
                 case Incoming():
-                    self.scheduler.adopt_incoming(sock, message)
+                    self.handler.adopt_incoming(sock, message)
                 case Waiting():
-                    self.scheduler.adopt_waiting(sock, message)
+                    self.handler.adopt_waiting(sock, message)
                 case Open():
-                    self.scheduler.adopt_open(sock, message)
+                    self.handler.adopt_open(sock, message)
                 case Outgoing(address=address, idle_since_us=since):
-                    self.scheduler.adopt_outgoing(sock, Address.parse(address), since * MICROSECOND)
-        except OSError as fault:
-            log.logger().warning("not_adopted", what=type(message).__name__, why=str(fault))
+                    self.handler.adopt_outgoing(sock, Address.parse(address), since * MICROSECOND)
+        except OSError as error:
+            log.logger().warning("not_adopted", what=type(message).__name__, why=str(error))
             self._loop.sockets.close(sock)
 
     def _hand_over(self) -> None:
         if self._channel is not None and not self._leaving:
             self._leaving = True
-            self.scheduler.leave(True)
-            self.scheduler.let_go(self._let_go)
+            self.handler.set_leaving(True)
+            self.handler.release_store(self._on_released)
 
-    def _let_go(self, free: bool) -> None:
+    def _on_released(self, free: bool) -> None:
         channel = self._channel
-        if channel is None or not self._leaving:  # the other has ended meanwhile
+        if channel is None or not self._leaving:  # the peer has ended meanwhile
             return
         if not free:
             channel.close()
-            self._lost([])
+            self._on_peer_lost([])
             return
-        self._handed_over = not self.scheduler.needs_word
-        self._send(self.scheduler.state())
-        self._beat()
+        self._handed_over = not self.handler.needs_confirmation
+        self._send(self.handler.state())
+        self._send_heartbeat()
         log.logger().info("handed_over")
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self._channel is not None:
-            self._send(self.scheduler.beat())
-            self._loop.call_after(BEAT, self._beat)
+            self._send(self.handler.heartbeat())
+            self._loop.call_after(HEARTBEAT_INTERVAL, self._send_heartbeat)
 
-    def _lost(self, unsent: list[tuple[Message, socket.socket]]) -> None:
-        """The other has ended, or died: what was on its way to it is kept."""
+    def _on_peer_lost(self, unsent: list[tuple[Message, socket.socket]]) -> None:
+        """Handle the end of the peer; ``unsent`` connections stay here."""
         self._channel = None
-        for number in list(self._waiting):
-            self._done(number, False)
-        if self._patience is not None:  # it never said what it knows
-            self._patience.cancel()
-            self._patience = None
+        for number in list(self._pending):
+            self._resolve(number, False)
+        if self._state_timer is not None:  # it never sent its state
+            self._state_timer.cancel()
+            self._state_timer = None
             self._taking_over = False
             log.logger().warning("not_handed_over")
-            self.scheduler.begin(None)
+            self.handler.start_serving(None)
             return
-        self.scheduler.heard(None)
+        self.handler.handle_heartbeat(None)
         if self._leaving:
             self._leaving = self._handed_over = False
             log.logger().warning("taken_back")
-            self._end_listening()  # the other had put its own in that place
+            self._stop_listening()  # the successor had replaced it
             self.listen()
-            self.scheduler.leave(False)
+            self.handler.set_leaving(False)
             for message, sock in unsent:
                 if isinstance(message, Outgoing):
                     sock.close()
@@ -365,4 +371,4 @@
         elif self._taking_over:
             self._taking_over = False
             log.logger().info("alone")
-            self.scheduler.alone()
+            self.handler.peer_ended()
--- a/carthinge/serving.py
+++ b/carthinge/serving.py
@@ -1,4 +1,4 @@
-"""One scheduler from its configuration to its exit code."""
+"""Runs a scheduler, from loading its configuration to its exit code."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 def configured(file: str | None) -> Config | None:
-    """The configuration; None where it cannot be used, after saying so on standard error."""
+    """Return the configuration; if it is invalid, print the error to standard error and return None."""
     try:
         return load(os.environ, file)
-    except ConfigError as fault:
-        print(f"carthinge: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"carthinge: {error}", file=sys.stderr)
         return None
 
 
 def serve(log_level: str = "info", file: str | None = None) -> int:
-    """Runs until SIGTERM or SIGINT; returns the exit code."""
+    """Run until SIGTERM or SIGINT; return the exit code."""
     config = configured(file)
     if config is None:
         return BAD_CONFIG
     log.set_up(log_level, config.name)
     try:
         Program(config, lambda before: reload(os.environ, before)).run()
-    except StoreError as fault:
-        log.logger().error("no_store", why=str(fault))
+    except StoreError as error:
+        log.logger().error("no_store", why=str(error))
         return NO_STORE
-    except OSError as fault:
-        log.logger().error("cannot_listen", listen=str(config.listen), why=str(fault))
+    except OSError as error:
+        log.logger().error("cannot_listen", listen=str(config.listen), why=str(error))
         return CANNOT_LISTEN
     return 0
