--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""The scheduler killed at random points, by seed; the auditor of the benchmark reads what came of it."""
+"""Kills the scheduler at random points, by seed, and checks the outcome with the benchmark's auditor."""
 
 import asyncio
 import sys
@@ -10,7 +10,7 @@
 import durable
 from harness import Fleet, Run
 
-BROKEN = (
+VIOLATIONS = (
     "lost",
     "answered_twice",
     "keyed_repeats_in_window",
@@ -21,14 +21,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ten_kills_lose_nothing_and_repeat_nothing(seed):
+def test_kills_lose_and_repeat_no_jobs(seed):
     verdict = asyncio.run(durable.kills(5, seed))
     assert verdict["accepted"] >= 10 and verdict["answered_once"] == verdict["accepted"], verdict
-    assert not any(verdict[name] for name in BROKEN), f"seed {seed}: {verdict}"
+    assert not any(verdict[name] for name in VIOLATIONS), f"seed {seed}: {verdict}"
 
 
 @pytest.mark.parametrize(
-    "breach, name",
+    "violate, name",
     [
         (lambda audit, fleet, final: final.pop("k1"), "lost"),
         (lambda audit, fleet, final: final.update(k1=(410, b"")), "lost"),
@@ -45,8 +45,8 @@
         (lambda audit, fleet, final: fleet.runs.clear(), "served_by_nobody"),
     ],
 )
-def test_the_auditor_sees_each_breach(breach, name):
-    """An auditor that cannot fail would show nothing."""
+def test_auditor_detects_each_violation(violate, name):
+    """Each kind of violation makes the auditor fail."""
     fleet = Fleet(0, lambda draw: 0.0)
     fleet.runs += [Run("s-0", "r", "k1", 0.0), Run("s-0", "r", "u1", 0.0)]
     audit = durable.Audit()
@@ -54,6 +54,6 @@
     final = {"k1": (200, b"result"), "u1": (200, b"result")}
     for key in final:
         audit.answered(key, 200, b"result")
-    assert not any(audit.verdict(fleet, final)[of] for of in BROKEN)
-    breach(audit, fleet, final)
+    assert not any(audit.verdict(fleet, final)[violation] for violation in VIOLATIONS)
+    violate(audit, fleet, final)
     assert audit.verdict(fleet, final)[name] >= 1
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The real program and its operators: its figures, and workers out by hand."""
+"""The operators' endpoint of the real program: readiness, metrics, and excluding workers."""
 
 import json
 import time
@@ -10,23 +10,26 @@
 CLASSES = ("query", "reindex", "charge")
 
 
-WARM = {**SETTINGS, "rules": {**SETTINGS["rules"], "cold": 1}}  # a worker is back at its full use at once
+NO_SLOW_START = {
+    **SETTINGS,
+    "rules": {**SETTINGS["rules"], "cold": 1},
+}  # a re-admitted worker gets its full share at once
 
 
 @pytest.fixture
 def world(tmp_path):
-    with World(tmp_path, workers=2, settings=WARM) as started:
+    with World(tmp_path, workers=2, settings=NO_SLOW_START) as started:
         yield started
 
 
-def counts(**known):
+def counts_by_class(**known):
     return {**dict.fromkeys(CLASSES, 0), **known}
 
 
-# ---- the address --------------------------------------------------------------------------------
+# ---- readiness and bad calls --------------------------------------------------------------------
 
 
-def test_ready_once_a_worker_is_known(tmp_path):
+def test_ready_requires_known_worker(tmp_path):
     with World(tmp_path, known=False) as world:
         assert world.operate("/ready")[0] == 503
         peer, _ = world.watched()
@@ -51,47 +54,47 @@
         ("POST", "/workers/enable?who=nobody", 404),
     ],
 )
-def test_what_cannot_be_done_is_answered_no(world, method, path, status):
+def test_invalid_calls_rejected(world, method, path, status):
     assert world.operate(path, method)[0] == status
     assert world.metrics()["workers_excluded"] == 0
 
 
-def test_a_call_may_come_byte_by_byte_and_garbage_is_answered_400(world):
+def test_bytewise_call_accepted_garbage_rejected(world):
     caller = world.call()
     for byte in b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n":
         caller.send(bytes((byte,)))
-    assert caller.status() == 200 and caller.ended()  # one call a connection
+    assert caller.status() == 200 and caller.ended()  # one call per connection
     assert world.call().send(b"\x16\x03\x01\r\n\r\n").status() == 400
 
 
-def test_silent_callers_keep_nobody_out_and_are_cut_off(world):
-    """The slots are few: without room made for the next caller, silent ones would hold them for seconds."""
+def test_silent_callers_disconnected(world):
+    """Silent callers could otherwise hold all of the few connections for seconds."""
     silent = [world.call().send(b"GET /re") for _ in range(40)]
-    since = time.monotonic()
-    assert world.operate("/ready")[0] == 200 and time.monotonic() - since < 0.5
+    start = time.monotonic()
+    assert world.operate("/ready")[0] == 200 and time.monotonic() - start < 0.5
     assert silent[0].ended() and silent[-1].ended()
-    assert 4 < time.monotonic() - since < 8
+    assert 4 < time.monotonic() - start < 8
 
 
-def test_clients_that_hold_every_place_keep_no_operator_out(tmp_path):
+def test_operator_reachable_when_client_slots_full(tmp_path):
     with World(tmp_path, sockets=96) as world:
         clients = []
-        for number in range(40):  # more than there are slots, each with a request under way
+        for number in range(40):  # more than there are slots, each with a request in progress
             clients.append(world.submit(f"a{number}"))
-            world.operate("/ready")  # it is read, and does not make room as one that says nothing
+            world.operate("/ready")  # the request is read, so its connection is not closed as silent
         assert clients[-1].status() == 503
-        since = time.monotonic()
-        assert world.operate("/ready")[0] == 200 and time.monotonic() - since < 1
+        start = time.monotonic()
+        assert world.operate("/ready")[0] == 200 and time.monotonic() - start < 1
 
 
-# ---- figures ------------------------------------------------------------------------------------
+# ---- metrics ------------------------------------------------------------------------------------
 
 
-def test_jobs_are_counted_by_class_and_attempts_once_written(world):
+def test_metrics_count_jobs_and_attempts(world):
     assert world.metrics() == {
-        "served": counts(),
-        "refused": counts(),
-        "failed": counts(),
+        "served": counts_by_class(),
+        "refused": counts_by_class(),
+        "failed": counts_by_class(),
         "attempts": 0,
         "in_flight": 0,
         "workers_known": 2,
@@ -118,24 +121,24 @@
     world.take()[1].answer(202)
     assert world.metrics()["in_flight"] == 1
     assert client.status() == 503
-    figures = world.metrics()
-    assert figures["served"] == counts(query=3) and figures["failed"] == counts(charge=1)
-    assert figures["refused"] == counts(reindex=1)
-    assert figures["attempts"] == 5 and figures["in_flight"] == 0
+    metrics = world.metrics()
+    assert metrics["served"] == counts_by_class(query=3) and metrics["failed"] == counts_by_class(charge=1)
+    assert metrics["refused"] == counts_by_class(reindex=1)
+    assert metrics["attempts"] == 5 and metrics["in_flight"] == 0
 
 
-def test_an_attempt_that_cannot_connect_is_not_counted_as_written(tmp_path):
+def test_unconnected_attempt_not_counted(tmp_path):
     with World(tmp_path, workers=1) as world:
         world.workers.pop().close()
         world.names.pop()
         client = world.submit("a1", kind="charge", deadline="600m")
         assert client.status() == 503
-        figures = world.metrics()
-        assert figures["attempts"] == 0 and figures["refused"] == counts(charge=1)
-        assert figures["workers_excluded"] == 1  # by choice: it could not be reached
+        metrics = world.metrics()
+        assert metrics["attempts"] == 0 and metrics["refused"] == counts_by_class(charge=1)
+        assert metrics["workers_excluded"] == 1  # by the scheduler itself: it could not be reached
 
 
-def test_workers_are_counted_as_listed(world):
+def test_metrics_count_listed_workers(world):
     peer, _ = world.watched()
     peer.answer(
         200,
@@ -149,20 +152,20 @@
     assert world.metrics()["workers_known"] == 1
 
 
-def test_files_that_are_taken_and_turned_down_are_counted(world):
+def test_metrics_count_reloads(world):
     world.reload(world.discovery)
     world.wait_for_log("event=reloaded")
     world.reload("{")
     world.wait_for_log("reload_failed")
-    figures = world.metrics()
-    assert (figures["reloads_ok"], figures["reloads_failed"]) == (1, 1)
+    metrics = world.metrics()
+    assert (metrics["reloads_ok"], metrics["reloads_failed"]) == (1, 1)
 
 
-# ---- out by hand --------------------------------------------------------------------------------
+# ---- excluding workers --------------------------------------------------------------------------
 
 
-def takers(world, prefix, count):
-    """The workers that get so many jobs, served one after the other."""
+def serving_workers(world, prefix, count):
+    """Serve jobs one after the other and return the workers that got them."""
     used = set()
     for number in range(count):
         client = world.submit(f"{prefix}{number}")
@@ -171,17 +174,17 @@
     return used
 
 
-def test_a_worker_out_by_hand_gets_nothing_until_it_is_put_back(world):
-    assert takers(world, "a", 8) == {0, 1}
+def test_excluded_worker_gets_no_jobs(world):
+    assert serving_workers(world, "a", 8) == {0, 1}
     assert [world.by_hand("disable", "s-0") for _ in range(2)] == [200, 200]
     assert world.metrics()["workers_excluded"] == 1
-    assert takers(world, "b", 8) == {1}
-    assert world.by_hand("enable", "s-0") == 200  # once, though it was taken out twice
+    assert serving_workers(world, "b", 8) == {1}
+    assert world.by_hand("enable", "s-0") == 200  # once is enough, although it was excluded twice
     assert world.metrics()["workers_excluded"] == 0
-    assert takers(world, "c", 12) == {0, 1}
+    assert serving_workers(world, "c", 12) == {0, 1}
 
 
-def test_what_is_at_a_worker_may_finish_there_once_it_is_out(world):
+def test_running_job_finishes_at_excluded_worker(world):
     client = world.submit("a1")
     number, peer, _ = world.take()
     assert world.by_hand("disable", world.names[number]) == 200
@@ -190,32 +193,32 @@
     assert client.read()[2] == b"r"
 
 
-def test_no_list_puts_a_worker_back(world):
-    """Its restart, its leaving and its return are news of discovery, and not of the operators."""
+def test_exclusion_survives_list_updates(world):
+    """A worker that leaves, returns or restarts in discovery stays excluded until an operator enables it."""
     watch, _ = world.watched()
     assert world.by_hand("disable", "s-0") == 200
     port = world.workers[0].port
-    news = [
+    updates = [
         (member("s-0", port, phase="Gone"),),
         (member("s-0", port),),
         (member("s-0", port, up_since_ms=int(time.time() * 1000)),),
     ]
-    for revision, members in enumerate(news, 8):
+    for revision, members in enumerate(updates, 8):
         watch.answer(200, told(revision, *members))
         watch.read()
-        if revision == 8:  # not listed: it can stay out or be put back, and others like it are unknown
+        if revision == 8:  # not listed: it can still be excluded or enabled, unlike other unlisted ids
             assert world.by_hand("disable", "s-0") == 200
             assert world.metrics()["workers_excluded"] == 0
     watch.answer(200, told(11, member("s-0", port), member("s-1", world.workers[1].port), complete=True))
     watch.read()
     world.reload(world.discovery)
     world.wait_for_log("event=reloaded")
-    assert takers(world, "a", 6) == {1}
+    assert serving_workers(world, "a", 6) == {1}
     assert world.by_hand("enable", "s-0") == 200
 
 
-def test_a_worker_put_back_is_not_reached_on_connections_from_before(world):
-    """It was restarted meanwhile: what is sent on an old connection would be lost."""
+def test_exclusion_closes_idle_connections(world):
+    """The worker may be restarted meanwhile: a request on an old connection would be lost."""
     used = {}
     while len(used) < 2:
         client = world.submit(f"a{len(world.opened)}")
@@ -228,12 +231,12 @@
     assert used[0].ended()
 
 
-def test_metrics_stay_whole_json(world):
+def test_metrics_valid_json(world):
     body = world.operate("/metrics")[1]
     assert json.loads(body) and body.count(b'"served"') == 1
 
 
-def test_a_client_s_connection_knows_nothing_of_the_operators_calls(world):
+def test_metrics_not_served_to_clients(world):
     assert world.ask("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")[0].endswith("404 Not Found")
     client = world.connect().send(job("a1"))
     serve_next(world, "a1")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one scheduler on one inherited listener, while the new one takes over."""
+"""Upgrades: a new process takes over from the old one on an inherited listener."""
 
 import contextlib
 import json
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from test_operator import WARM, takers
+from test_operator import NO_SLOW_START, serving_workers
 from world import SETTINGS, WAIT, World, job, serve_next
 
 from carthinge.net.channel import FORMAT
@@ -16,53 +16,53 @@
 
 @pytest.fixture
 def world(tmp_path):
-    with World(tmp_path, workers=2, settings=WARM, held=True) as started:
+    with World(tmp_path, workers=2, settings=NO_SLOW_START, held=True) as started:
         yield started
 
 
-def hold(world, count, **more):
-    """Jobs that workers have taken and not ended, each with its client, its worker and its id."""
+def hold_jobs(world, count, **more):
+    """Start jobs that stay at their workers; return the client, worker and id of each."""
     held = []
     for number in range(count):
         client = world.submit(f"held{number}", kind="reindex", deadline="9000m", **more)
         at, peer, _ = world.take()
         peer.answer(202)
-        assert world.tell(f"held{number}", "started", at) == 204  # else its worker would be doubted soon
+        assert world.tell(f"held{number}", "started", at) == 204  # keeps the worker from being suspected
         held.append((client, at, f"held{number}"))
     world.counters()  # the 202s are read
     return held
 
 
-def followed(world, count):
-    """Waits until so many jobs are the new process's: that it is ready says nothing of them."""
+def wait_for_handover(world, count):
+    """Wait until the new process has the given number of jobs; readiness does not imply that."""
     until = time.monotonic() + WAIT
     while world.metrics()["in_flight"] < count:
         assert time.monotonic() < until, world.log()
         time.sleep(0.01)
 
 
-def counted(log, event):
+def count_events(log, event):
     return sum(f"event={event}" in line for line in log.splitlines())
 
 
-def test_a_lone_process_serves_on_an_inherited_listener_and_leaves_it_open(world):
-    assert takers(world, "a", 4) == {0, 1}
+def test_inherited_listener_stays_open(world):
+    assert serving_workers(world, "a", 4) == {0, 1}
     world.terminate()
     assert world.process.wait(WAIT) == 0
-    waiting = world.submit("late")  # waits in the backlog of the listener that the platform holds
+    waiting = world.submit("late")  # waits in the backlog of the inherited listener
     world.process = world.start()
     serve_next(world, "late")
     assert waiting.status() == 200
 
 
-def test_kept_connections_move_to_the_new_process_and_no_job_is_closed_on(world):
+def test_connections_handed_over_without_lost_jobs(world):
     kept = [world.connect() for _ in range(5)]
     for number, client in enumerate(kept):
         client.send(job(f"a{number}"))
         serve_next(world, f"a{number}")
         assert client.status() == 200
-    unused = world.connect()  # nothing was sent on it yet
-    busy = hold(world, 1)[0]
+    unused = world.connect()  # without a request so far
+    busy = hold_jobs(world, 1)[0]
     old, _ = world.upgrade()
     old.terminate()
     for number, client in enumerate([*kept, unused]):
@@ -72,27 +72,27 @@
     client, at, name = busy
     assert world.tell(name, "done", at, result="from the old one") == 204
     assert client.read()[2] == b"from the old one"
-    client.send(job("c1"))  # the connection has moved after its answer
+    client.send(job("c1"))  # the connection was handed over after its answer
     serve_next(world, "c1")
     assert client.status() == 200
     assert old.wait(WAIT) == 0
-    assert counted(world.log(), "handed_over") == 1 and counted(world.log(), "alone") == 1
+    assert count_events(world.log(), "handed_over") == 1 and count_events(world.log(), "alone") == 1
     assert world.counters()["connections_taken_over"] >= 7
 
 
-def test_call_backs_reach_the_process_that_has_the_job_and_count_once(world):
-    """The listener is the same, so that they come to either; the worker is answered once it is there."""
-    caller = world.connect()  # a connection that stays at the old process, half a call on it
+def test_callbacks_forwarded_to_owning_process(world):
+    """Both processes accept on the same listener; the owner of the job handles and counts a callback once."""
+    caller = world.connect()  # stays at the old process, with a half sent callback
     body = json.dumps({"id": "new", "from": "s-0", "state": "done", "result": "x"}).encode()
     caller.send(b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body))
     early = world.submit("early", kind="reindex")
-    at, _, _ = world.take()  # no 202 yet: this one stays at the old process too
+    at, _, _ = world.take()  # without a 202 this job stays at the old process, too
     world.tell("early", "started", at)
-    world.counters()  # the half call is read
+    world.counters()  # the half callback is read
     world.upgrade()
-    assert world.tell("early", "done", at, result="y") == 204  # taken in by the new process
+    assert world.tell("early", "done", at, result="y") == 204  # accepted by the new process
     assert early.read()[2] == b"y"
-    while True:  # one at the worker that the half call names
+    while True:  # until a job is at the worker that the half callback names
         client = world.submit("new")
         at, peer, _ = world.take()
         peer.answer(202)
@@ -107,9 +107,9 @@
     assert world.counters()["job_events_passed_on"] == 1
 
 
-def test_open_jobs_follow_and_outlive_the_old_process(world):
-    """Long ones outlive its SIGKILL; what they may still do goes by the attempts they have had."""
-    held = hold(world, 2)
+def test_open_jobs_survive_old_process(world):
+    """Open jobs survive a SIGKILL of the old process, and their earlier attempts still limit retries."""
+    held = hold_jobs(world, 2)
     charge = world.submit("charge", kind="charge", deadline="9000m")
     at, peer, _ = world.take()
     peer.answer(202)
@@ -123,7 +123,7 @@
     world.tell("again", "started", last)
     world.counters()  # the 202 is read
     old, _ = world.upgrade()
-    followed(world, 4)
+    wait_for_handover(world, 4)
     old.kill()
     assert old.wait(WAIT)
     world.wait_for_log("event=alone")
@@ -134,17 +134,17 @@
     world.tell("charge", "lost", at)
     assert charge.status() == 502  # it may have run
     world.tell("again", "lost", last)
-    assert first != last and again.status() == 503  # no worker is left where it has not been
+    assert first != last and again.status() == 503  # it has been at every worker already
     assert world.metrics()["in_flight"] == 0
 
 
-def test_a_waiting_job_follows_and_is_sent_by_the_new_process(tmp_path):
-    with World(tmp_path, workers=1, settings=WARM, held=True) as world:
-        held = hold(world, 4)  # as many as go to a worker of which nothing is known
+def test_queued_job_sent_by_new_process(tmp_path):
+    with World(tmp_path, workers=1, settings=NO_SLOW_START, held=True) as world:
+        held = hold_jobs(world, 4)  # as many as an unknown worker gets
         waiting = world.submit("waiting", deadline="9000m")
-        world.counters()  # it is taken
+        world.counters()  # the request is read
         old, _ = world.upgrade()
-        followed(world, 5)
+        wait_for_handover(world, 5)
         old.kill()
         assert old.wait(WAIT)
         for client, at, name in held:
@@ -154,42 +154,42 @@
         assert waiting.status() == 200
 
 
-def test_what_is_out_by_hand_stays_out_and_calls_at_either_address_reach_both(world):
-    takers(world, "a", 4)
+def test_exclusions_shared_between_processes(world):
+    serving_workers(world, "a", 4)
     assert world.by_hand("disable", "s-0") == 200
     _, before = world.upgrade()
     after = world.operator
-    assert takers(world, "b", 6) == {1}
+    assert serving_workers(world, "b", 6) == {1}
     assert world.metrics()["workers_excluded"] == 1
     world.operator = before
     assert world.by_hand("enable", "s-0") == 200 and world.by_hand("enable", "nobody") == 404
-    assert takers(world, "c", 12) == {0, 1}
+    assert serving_workers(world, "c", 12) == {0, 1}
     world.operator = after
     assert world.by_hand("disable", "s-1") == 200
     world.operator = before
     assert world.metrics()["workers_excluded"] == 1
-    assert takers(world, "d", 6) == {0}
+    assert serving_workers(world, "d", 6) == {0}
 
 
-def test_the_new_process_goes_on_with_what_the_old_one_has_learned(world):
+def test_new_process_continues_discovery_revision(world):
     watch, _ = world.watched()
     watch.answer(200, json.dumps({"revision": 31, "complete": False, "members": []}).encode())
     watch.read()
     world.upgrade()
     peer = world.accept(world.discovery)
-    assert peer.read()[0].startswith("GET /discovery/hosts?index=31&wait=")  # not the file's list
+    assert peer.read()[0].startswith("GET /discovery/hosts?index=31&wait=")  # not the configured revision
 
 
-def test_no_job_is_lost_while_clients_keep_asking(tmp_path):
+def test_upgrades_under_load_lose_no_jobs(tmp_path):
     """Clients on kept and on new connections, served by stub workers, through two upgrades."""
-    patient = [{**SETTINGS["services"][0], "objective": 5_000_000}]  # a stub that is slow for once is not ill
-    with World(tmp_path, workers=2, settings={**WARM, "services": patient}, held=True) as world:
-        ask_through_upgrades(world)
+    lenient = [{**SETTINGS["services"][0], "objective": 5_000_000}]  # a stub that is slow once stays healthy
+    with World(tmp_path, workers=2, settings={**NO_SLOW_START, "services": lenient}, held=True) as world:
+        run_clients_during_upgrades(world)
 
 
-def ask_through_upgrades(world):
+def run_clients_during_upgrades(world):
     stop = threading.Event()
-    answers, faults = [], []
+    answers, errors = [], []
 
     def work(listener, name):
         with contextlib.suppress(OSError):
@@ -220,8 +220,8 @@
                 client = client if client and number % 7 else world.connect()
                 client.send(job(f"{name}-{number}"))
                 answers.append(client.status())
-        except (OSError, EOFError) as fault:
-            faults.append(fault)
+        except (OSError, EOFError) as error:
+            errors.append(error)
 
     threads = [
         threading.Thread(target=work, args=pair) for pair in zip(world.workers, world.names, strict=True)
@@ -241,59 +241,59 @@
     for thread in threads[2:]:
         thread.join()
     ends = [line for line in world.log().splitlines() if "state=refused" in line or "state=failed" in line]
-    assert set(answers) == {200} and not faults, (set(answers), faults, ends)
+    assert set(answers) == {200} and not errors, (set(answers), errors, ends)
 
 
-def test_a_new_process_that_fails_at_its_start_changes_nothing(world):
-    takers(world, "a", 4)
+def test_failed_start_keeps_old_process(world):
+    serving_workers(world, "a", 4)
     failing = world.start(RELAY_OPERATOR=f"192.0.2.1:{world.operator}")  # not an address of this machine
     assert failing.wait(WAIT) == 3
-    cut_off = socket.socket(socket.AF_UNIX)
-    cut_off.connect(str(next(world.temporary.iterdir())))
+    dying_process = socket.socket(socket.AF_UNIX)
+    dying_process.connect(str(next(world.temporary.iterdir())))
     hello = msgspec.msgpack.encode({"type": "Hello", "format": FORMAT})
-    cut_off.send(len(hello).to_bytes(4, "big") + hello)
-    cut_off.close()  # it asks to take over, and dies
+    dying_process.send(len(hello).to_bytes(4, "big") + hello)
+    dying_process.close()  # asks to take over, then dies
     world.wait_for_log("taken_back")
-    assert takers(world, "b", 6) == {0, 1}
-    assert world.upgrade() and takers(world, "c", 6) == {0, 1}
+    assert serving_workers(world, "b", 6) == {0, 1}
+    assert world.upgrade() and serving_workers(world, "c", 6) == {0, 1}
 
 
-def test_a_stale_socket_or_a_stuck_process_is_passed_over(world):
-    """The new one has 6 s; the old one may have died, or hold its socket and say nothing."""
+def test_stale_socket_or_stuck_process_ignored(world):
+    """A new process must serve within 6 s even if the old one died or does not respond on its socket."""
     world.process.kill()
     world.process.wait()
     path = next(world.temporary.iterdir())
-    assert world.upgrade() and takers(world, "a", 4) == {0, 1}
+    assert world.upgrade() and serving_workers(world, "a", 4) == {0, 1}
     world.process.kill()
     world.process.wait()
     path.unlink()
     with socket.socket(socket.AF_UNIX) as stuck:
         stuck.bind(str(path))
         stuck.listen()
-        since = time.monotonic()
+        start = time.monotonic()
         world.upgrade()
-        assert time.monotonic() - since < 5 and takers(world, "b", 4) == {0, 1}
-        assert counted(world.log(), "not_handed_over") == 1
+        assert time.monotonic() - start < 5 and serving_workers(world, "b", 4) == {0, 1}
+        assert count_events(world.log(), "not_handed_over") == 1
 
 
-def test_when_the_old_process_is_killed_midway_the_new_one_goes_on_alone(world):
+def test_old_process_killed_during_upgrade(world):
     client = world.submit("a1", kind="reindex")
-    at, _, _ = world.take()  # without a 202 it cannot follow
-    world.tell("a1", "started", at)  # else it would be tried elsewhere soon
+    at, _, _ = world.take()  # without a 202 it cannot be handed over
+    world.tell("a1", "started", at)  # otherwise it would be tried at another worker soon
     old, _ = world.upgrade()
     old.kill()
     old.wait()
     assert client.ended()
-    assert world.tell("a1", "done", at) == 204  # nobody has it any more
-    assert takers(world, "b", 6) == {0, 1}
-    assert world.by_hand("disable", "s-0") == 200 and takers(world, "c", 4) == {1}
+    assert world.tell("a1", "done", at) == 204  # no process has the job any more
+    assert serving_workers(world, "b", 6) == {0, 1}
+    assert world.by_hand("disable", "s-0") == 200 and serving_workers(world, "c", 4) == {1}
 
 
-def test_when_the_new_process_is_killed_the_old_one_takes_clients_again(world):
+def test_new_process_killed_after_upgrade(world):
     old, before = world.upgrade()
     world.process.kill()
     world.process.wait()
     world.process, world.operator = old, before
     world.wait_for_log("taken_back")
-    assert takers(world, "b", 6) == {0, 1}
-    assert world.upgrade() and takers(world, "c", 6) == {0, 1}
+    assert serving_workers(world, "b", 6) == {0, 1}
+    assert world.upgrade() and serving_workers(world, "c", 6) == {0, 1}
