--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -264,7 +264,7 @@
         path = request.target.split(b"?", 1)[0]
         durable = self._frontend.durable
         if request.method == b"POST" and path == CALLBACK_PATH:
-            self._frontend.call_backs.handle(request.body, lambda status: self.reply(request, status))
+            self._frontend.callbacks.handle(request.body, lambda status: self.reply(request, status))
         elif durable is not None and durable.handles(request, path):
             if durable.jobs.leaving:
                 self.put_off = True
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -16,7 +16,7 @@
 from carthinge.durable.jobs import DurableJobs
 from carthinge.durable.limits import Shed
 from carthinge.durable.records import Found, JobState
-from carthinge.front.translator import JOBS, Translator, text
+from carthinge.front.translator import JOBS, Translator, header_text
 from carthinge.net.http import BadRequestError, Request
 from carthinge.net.loop import Loop, Timer
 
@@ -54,7 +54,7 @@
     @classmethod
     def of(cls, request: Request) -> Preference:
         """Read the ``Prefer`` header of a request."""
-        raw = text(request.headers, b"prefer")
+        raw = header_text(request.headers, b"prefer")
         if not raw:
             return NO_PREFERENCE
         preferences = [part.strip() for part in raw.lower().split(",")]
@@ -82,7 +82,7 @@
         return (
             request.method == b"POST"
             and (path == JOBS or path.startswith(JOBS + b"/"))
-            and text(request.headers, b"req-kind") in self.jobs.classes
+            and header_text(request.headers, b"req-kind") in self.jobs.classes
         )
 
     def begin(
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -51,7 +51,7 @@
         self._first_bytes_timeout = site.connect_timeout  # the same for a client's first bytes
         self._ready = ready
         self.draining: Drain | None = None
-        self.call_backs = Callbacks(tracker, worker_client, counters, other_process)
+        self.callbacks = Callbacks(tracker, worker_client, counters, other_process)
         self.durable: DurableFront | None = None
         self.slots = ConnectionSlots(max_connections)
         self.waiting: set[Holder] = set()  # connections whose clients wait for the answer to a job
@@ -187,7 +187,7 @@
             return None
         holder = self.slots.make_room(self.loop.now, self._first_bytes_timeout)
         if holder is None:
-            return "every connection has a request under way or unread"
+            return "every connection has a request in progress or unread"
         self.counters.connections_in_closed_early += 1
         holder.close(CloseReason.SLOT_NEEDED)
         return None
--- a/carthinge/front/gate.py
+++ b/carthinge/front/gate.py
@@ -23,7 +23,7 @@
     tracker: RequestTracker
     counters: Counters
     translator: Translator
-    call_backs: Callbacks
+    callbacks: Callbacks
     durable: DurableFront | None
     max_retry_after: timedelta
     slots: ConnectionSlots
--- a/carthinge/front/translator.py
+++ b/carthinge/front/translator.py
@@ -46,19 +46,19 @@
     def read(self, request: Request) -> tuple[Job, Terms]:
         """Parse a request; raises BadRequestError if it is invalid."""
         headers = request.headers
-        job_id = text(headers, b"req-id")
+        job_id = header_text(headers, b"req-id")
         if not REQUEST_ID.fullmatch(job_id):  # the id becomes part of a path
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: missing or malformed")
-        class_name = text(headers, b"req-kind")
+        class_name = header_text(headers, b"req-kind")
         job_class = self._classes.get(class_name)
         if job_class is None:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Kind: not a class of this site")
-        tenant_name = text(headers, b"req-owner")
+        tenant_name = header_text(headers, b"req-owner")
         tenant = self.tenant(tenant_name)
         if tenant is None:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Owner: not a tenant of this site")
-        figures = extra(text(headers, b"req-extra"))
-        hint = text(headers, b"req-cost")
+        extra = parse_extra(header_text(headers, b"req-extra"))
+        hint = header_text(headers, b"req-cost")
         try:
             cost = float(hint) * MICROSECOND if hint else None
         except (ValueError, OverflowError):
@@ -70,11 +70,11 @@
             class_name,
             tenant,
             tenant_name,
-            span(text(headers, b"req-deadline")),
+            parse_duration(header_text(headers, b"req-deadline")),
             subject_key(request.target),
             cost,
-            figures.get("slots", 1.0),
-            figures.get("memory", 0.0),
+            extra.get("slots", 1.0),
+            extra.get("memory", 0.0),
             headers.get(b"req-retry") == b"1",
             self.effect(class_name),
         )
@@ -84,12 +84,12 @@
         return Job(job_id, request.target, request.body, forwarded), terms
 
 
-def text(headers: dict[bytes, bytes], name: bytes) -> str:
+def header_text(headers: dict[bytes, bytes], name: bytes) -> str:
     """Return a header as text, empty if it is missing."""
     return headers.get(name, b"").decode("latin-1")
 
 
-def span(text: str) -> timedelta:
+def parse_duration(text: str) -> timedelta:
     """Parse a number with the unit ``m`` (milliseconds) or ``u`` (microseconds)."""
     match = DURATION.fullmatch(text)
     if match is None:
@@ -102,12 +102,12 @@
     if request.method != b"POST" or not request.target.startswith(JOBS):
         return None
     try:
-        return request.came + span(text(request.headers, b"req-deadline"))
+        return request.came + parse_duration(header_text(request.headers, b"req-deadline"))
     except (BadRequestError, OverflowError):
         return None
 
 
-def extra(text: str) -> dict[str, float]:
+def parse_extra(text: str) -> dict[str, float]:
     """Parse ``name=number,...``."""
     try:
         pairs = [part.split("=", 1) for part in text.split(",") if part]
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -37,7 +37,7 @@
         self,
         loop: Loop,
         upgrade: Upgrade,
-        table: WorkerDirectory,
+        directory: WorkerDirectory,
         dispatcher: Dispatcher,
         tracker: RequestTracker,
         worker_client: WorkerClient,
@@ -52,7 +52,7 @@
         self.set_excluded_here = set_excluded_here
         self._loop = loop
         self._upgrade = upgrade
-        self._table = table
+        self._directory = directory
         self._dispatcher = dispatcher
         self._tracker = tracker
         self._worker_client = worker_client
@@ -68,8 +68,8 @@
         site = config.site
         return State(
             str(config.discovery),
-            self._table.revision,
-            self._table.told(),
+            self._directory.revision,
+            self._directory.told(),
             memory_of(self._dispatcher),
             site.classes,
             site.tenants,
@@ -126,7 +126,7 @@
 
     def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
         """Handle a callback that the other process received."""
-        self._frontend.call_backs.handle_forwarded(body, done)
+        self._frontend.callbacks.handle_forwarded(body, done)
 
     def adopt_incoming(self, sock: socket.socket, incoming: Incoming) -> None:
         """Take over a client's connection."""
@@ -152,7 +152,7 @@
             effect=self._frontend.translator.effect(tracked.class_name),
         )
         for number, sent in enumerate(tracked.attempts):
-            target = self._table.target(sent.worker, Address.parse(sent.address))
+            target = self._directory.target(sent.worker, Address.parse(sent.address))
             taken.attempts.append(
                 Attempt(
                     taken,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -131,7 +131,7 @@
             lambda number: self.dispatcher.fleet.workers[number].entry,
             self.table.target,
         )
-        self.frontend.call_backs.durable = self.durable
+        self.frontend.callbacks.durable = self.durable
         self.worker_client.lease = options.leases.duration
         self.frontend.durable = DurableFront(self.loop, self.durable, lambda: self.frontend.max_retry_after)
 
