--- a/carthinge/front/answer_order.py
+++ b/carthinge/front/answer_order.py
@@ -19,7 +19,7 @@
 
 
 class HeadOfLineTimer:
-    """Calls ``cut_short`` when the request in front has to be answered so that a later one is in time."""
+    """Calls ``cut_short`` when the request in front has to be answered so that a later one is not lost."""
 
     def __init__(self, loop: Loop, cut_short: Callable[[], None]) -> None:
         self._loop = loop
