--- a/carthinge/net/caller.py
+++ b/carthinge/net/caller.py
@@ -1,4 +1,4 @@
-"""A connection that this side opens, and the calls that it carries one after the other."""
+"""Outgoing connections: opening one and carrying calls on it, one at a time."""
 
 from __future__ import annotations
 
@@ -16,74 +16,74 @@
 from carthinge.net.sockets import LOCAL_SHORTAGES
 from carthinge.net.stream import Stream
 
-OPEN_AGAIN: Final = timedelta(milliseconds=20)  # where this machine is short of descriptors or the like
+OPEN_RETRY_DELAY: Final = timedelta(milliseconds=20)  # after a local shortage, such as of file descriptors
 
 
 class Call(Protocol):
-    """One request on a caller: ``request``, ``written``, then ``answered`` or ``broken``.
+    """One request on an outgoing connection: ``request``, ``written``, then ``answered`` or ``broken``.
 
-    ``broken`` may come at any time; after it or ``answered`` nothing more comes.
+    ``broken`` may be called at any time; nothing is called after it or after ``answered``.
     """
 
     def request(self) -> bytes | None:
-        """What is to be written now that the connection is up; None where nothing is wanted any more."""
+        """Return the request to write now that the connection is up, or None if it is no longer wanted."""
 
     def written(self) -> None:
-        """The last byte of the request has gone out."""
+        """Called when the last byte of the request has been written."""
 
     def answered(self, answer: Answer) -> None:
-        """Hear the answer."""
+        """Called with the complete answer."""
 
     def broken(self, written: bool, why: str) -> None:
-        """Hear that there will be no answer; ``written``: the whole request went out."""
+        """Called when there will be no answer; ``written`` if the whole request was written."""
 
 
-class CallerState(Enum):
-    """A caller's life; it only ever goes on to a later state."""
+class ConnectionState(Enum):
+    """Life cycle of an outgoing connection; states only move forward."""
 
     NEW = 1
-    WAITING = 2  #: for a descriptor, or for room in the pool of connections
+    WAITING = 2  #: for a file descriptor, or for room in the connection pool
     CONNECTING = 3
     UP = 4
     CLOSED = 5
 
 
-def _always() -> bool:
+def _unlimited() -> bool:
     return True
 
 
 @dataclass(slots=True, eq=False)
 class Caller:
-    """A connection that we opened; it carries one call at a time."""
+    """An outgoing connection that carries one call at a time."""
 
     loop: Loop
     address: Address
     connect_timeout: timedelta
     body_limit: int = BODY_LIMIT
-    broken_off: timedelta | None = None  # so long after a part of an answer the rest does not come any more
-    admitted: Callable[[], bool] = _always  # whether one more connection may be opened just now
+    stall_timeout: timedelta | None = None  # between two parts of an answer
+    may_open: Callable[[], bool] = _unlimited  # whether the pool has room for this connection
     call: Call | None = None
-    state: CallerState = CallerState.NEW
-    short: bool = False  # it ended without a try: this machine, or the pool, had no room for it
+    state: ConnectionState = ConnectionState.NEW
+    local_shortage: bool = False  # no connect was attempted: no local resources or no room in the pool
     _stream: Stream | None = None
     _reader: AnswerReader = field(init=False)
-    _timer: Timer | None = None  # for the connection to come up, later for the rest of an answer
-    _opening: Timer | None = None
+    _timer: Timer | None = None  # for the connect, later for the rest of an answer
+    _open_retry: Timer | None = None
 
     def __post_init__(self) -> None:
         self._reader = AnswerReader(self.body_limit)
 
     def open(self) -> None:
-        """Starts to connect; whatever comes of that, its call hears it from the loop."""
-        self.state = CallerState.WAITING
+        """Start to connect; the call is notified of the outcome from the event loop, never from here."""
+        self.state = ConnectionState.WAITING
         self._timer = self.loop.call_after(self.connect_timeout, self._check_connected)
         self._connect()
 
     def _connect(self) -> None:
-        """A shortage of this machine is waited out for as long as a connection may take to come up."""
-        self._opening = None
-        if not self.admitted():
-            self._opening = self.loop.call_after(OPEN_AGAIN, self._connect)
+        """Connect, retrying on a local resource shortage until the connect timeout."""
+        self._open_retry = None
+        if not self.may_open():
+            self._open_retry = self.loop.call_after(OPEN_RETRY_DELAY, self._connect)
             return
         try:
             sock = self.loop.sockets.connect(self.address.host, self.address.port)
@@ -92,98 +92,98 @@
             except OSError:
                 self.loop.sockets.close(sock)
                 raise
-        except OSError as fault:
-            if fault.errno in LOCAL_SHORTAGES:
-                self._opening = self.loop.call_after(OPEN_AGAIN, self._connect)
+        except OSError as error:
+            if error.errno in LOCAL_SHORTAGES:
+                self._open_retry = self.loop.call_after(OPEN_RETRY_DELAY, self._connect)
                 return
-            why = str(fault)
+            why = str(error)
             self.loop.soon(lambda: self._break(why))
             return
-        self.state = CallerState.CONNECTING
+        self.state = ConnectionState.CONNECTING
 
     def adopt(self, sock: socket.socket) -> None:
-        """Goes on with a connection that another process opened and has no call on."""
+        """Take over an idle connection that another process opened."""
         self._stream = Stream(self.loop, sock, self)
-        self.state = CallerState.UP
+        self.state = ConnectionState.UP
 
     def release(self) -> socket.socket:
-        """Lets go of an idle connection as it stands."""
-        assert self.call is None and self._stream is not None and self.state is CallerState.UP
+        """Give up an idle connection and return its socket, still connected."""
+        assert self.call is None and self._stream is not None and self.state is ConnectionState.UP
         self._cancel_timers()
-        self.state = CallerState.CLOSED
+        self.state = ConnectionState.CLOSED
         return self._stream.release()
 
     def start(self, call: Call) -> None:
-        """Carries a call, whose request is asked for once the connection is up."""
+        """Start a call; its request is asked for once the connection is up."""
         assert self.call is None
         self.call = call
-        if self.state is CallerState.UP:
+        if self.state is ConnectionState.UP:
             self._write_request()
 
     def usable(self) -> bool:
-        """Free for a call, and the other side has not ended it."""
+        """Whether it can carry a call: idle, and not closed by the peer."""
         return (
-            self.state is CallerState.UP
+            self.state is ConnectionState.UP
             and self.call is None
             and self._stream is not None
             and self._stream.silent()
         )
 
     def close(self) -> None:
-        """Ends it without a word to the call."""
+        """Close the connection without notifying the call."""
         self.call = None
-        self.state = CallerState.CLOSED
+        self.state = ConnectionState.CLOSED
         self._cancel_timers()
         if self._stream is not None:
             self._stream.close()
 
     @property
     def reset(self) -> bool:
-        """The other side broke the connection off, but is not known to be down."""
+        """Whether the peer reset the connection, which does not prove that the peer is down."""
         return self._stream is not None and self._stream.reset
 
     @property
     def connecting(self) -> bool:
-        """Not up yet: nothing of a call has gone out."""
-        return self.state in (CallerState.NEW, CallerState.WAITING, CallerState.CONNECTING)
+        """Whether it is not connected yet, so that nothing of a call has been sent."""
+        return self.state in (ConnectionState.NEW, ConnectionState.WAITING, ConnectionState.CONNECTING)
 
     @property
     def closed(self) -> bool:
-        """Whether it is of no further use."""
-        return self.state is CallerState.CLOSED
+        """Whether the connection is closed."""
+        return self.state is ConnectionState.CLOSED
 
     # ---- the stream -----------------------------------------------------------------------
 
     def connected(self) -> None:
-        """Write the request that has waited for the connection."""
-        self.state = CallerState.UP
+        """Write the request that has waited for the connection, if there is one."""
+        self.state = ConnectionState.UP
         self._cancel_timers()
         if self.call is not None:
             self._write_request()
 
     def flushed(self) -> None:
-        """Tell the call that its request went out."""
+        """Notify the call that its request has been written."""
         if self.call is not None:
             self.call.written()
 
     def received(self, data: bytes) -> None:
-        """Read the answer from bytes."""
-        if self.call is None:  # nobody has asked: what follows could be taken for the next call's answer
+        """Parse received bytes and pass on a complete answer."""
+        if self.call is None:  # unsolicited data could be mistaken for the next call's answer
             self.close()
             return
         try:
             answers = self._reader.feed(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            self._break(f"not HTTP: {fault}")
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            self._break(f"not HTTP: {error}")
             return
         self._cancel_timers()
         if answers:
             self._answered(answers[0], further=len(answers) > 1 or self._reader.under_way)
-        elif self.broken_off is not None:
-            self._timer = self.loop.call_after(self.broken_off, lambda: self._break("the answer broke off"))
+        elif self.stall_timeout is not None:
+            self._timer = self.loop.call_after(self.stall_timeout, lambda: self._break("answer stalled"))
 
     def ended(self, why: str) -> None:
-        """By the other side, which may be how it marks the end of its answer."""
+        """Handle the end of the stream, which also ends an answer without a length."""
         answer = self._reader.end() if self.call is not None else None
         if answer is not None:
             self._answered(answer, further=True)
@@ -202,7 +202,7 @@
             stream.write(data)
 
     def _answered(self, answer: Answer, further: bool) -> None:
-        """``further``: more has come than one answer, so that the connection is of no more use."""
+        """Deliver an answer; ``further``: more than it was received, so the connection cannot be reused."""
         call, stream = self.call, self._stream
         assert call is not None and stream is not None
         self.call = None
@@ -212,21 +212,21 @@
 
     def _check_connected(self) -> None:
         if self.connecting:
-            self._break("no connection in time")
+            self._break("connect timed out")
 
     def _break(self, why: str) -> None:
-        """The call has ended without an answer."""
+        """Close the connection and notify the call that there will be no answer."""
         if self.closed:
             return
         stream, call = self._stream, self.call
         written = not self.connecting and stream is not None and not stream.unsent
-        self.short = self.state is CallerState.WAITING and self._opening is not None
+        self.local_shortage = self.state is ConnectionState.WAITING and self._open_retry is not None
         self.close()
         if call is not None:
             call.broken(written, why)
 
     def _cancel_timers(self) -> None:
-        for timer in (self._timer, self._opening):
+        for timer in (self._timer, self._open_retry):
             if timer is not None:
                 timer.cancel()
-        self._timer = self._opening = None
+        self._timer = self._open_retry = None
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -1,4 +1,4 @@
-"""A client's deadline on its way through a scheduler: the one place where it is computed.
+"""Computation of client deadlines and of the schedule of a drain.
 
 All times are on the loop's monotonic clock.
 """
@@ -11,58 +11,59 @@
 
 from carthinge.net.loop import MILLISECOND
 
-#: Taken off the client's patience: the answer has a way to go, and has to arrive before the client leaves.
+#: Subtracted from the client's timeout: the answer has to arrive before the client leaves.
 ANSWER_MARGIN: Final = timedelta(milliseconds=10)
-ANSWER_SHARE: Final = 0.05  # of a patience, at the most: of a short one the margin would take all
-LEAST_TOLD: Final = MILLISECOND  # a worker is never told that there is no time at all
+ANSWER_SHARE: Final = 0.05  # of the timeout at most: the margin could use up a short one
+MIN_DEADLINE: Final = MILLISECOND  # a worker is never sent a deadline of zero
 
 
-STILL_ARRIVING: Final = timedelta(milliseconds=600)  # after SIGTERM clients are sent here for up to 0.4 s
-MUST_BE_ANSWERED: Final = timedelta(milliseconds=700)  # what comes later than that, before SIGKILL
-LONGEST_GRACE: Final = timedelta(seconds=3)  # SIGKILL may come so long after that, or a deadline if shorter
-LAST_ANSWERS: Final = timedelta(milliseconds=300)  # before SIGKILL may come
-LAST_MOVES: Final = timedelta(seconds=1)  # before that: clients turn to other schedulers, if there are any
+ARRIVAL_GRACE: Final = timedelta(milliseconds=600)  # after SIGTERM; clients are routed here for up to 0.4 s
+KILL_DELAY: Final = timedelta(milliseconds=700)  # from SIGTERM plus the grace to the earliest SIGKILL
+MAX_KILL_GRACE: Final = timedelta(seconds=3)  # the grace is the longest deadline, limited to this
+KILL_MARGIN: Final = timedelta(milliseconds=300)  # from the last answers to the earliest SIGKILL
+MOVE_TIME: Final = timedelta(seconds=1)  # before the last answers, for clients to move to other schedulers
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Up to when what is done, once the program is to end."""
+    """Points in time of a drain, once the program was told to stop."""
 
-    arriving_until: timedelta  #: clients may still be sent here; what they send has its whole time
-    answered_by: timedelta  #: the last answer to what comes after that
-    kept_until: timedelta  #: from then on every answer ends its connection, so that clients turn elsewhere
+    arriving_until: timedelta  #: clients may still be routed here; their requests keep their full timeout
+    answered_by: timedelta  #: the last answer to requests that arrive after that
+    kept_until: timedelta  #: afterwards every answer closes its connection, so that clients move elsewhere
 
 
-def drain_schedule(told: timedelta, longest: timedelta, alone: bool, leaving: bool) -> Drain:
-    """Of a program that was ``told`` to end no earlier than then; ``longest``: deadline of its classes.
+def drain_schedule(signalled: timedelta, max_deadline: timedelta, alone: bool, leaving: bool) -> Drain:
+    """Compute the drain of a program that got its signal at ``signalled`` or later.
 
-    ``alone``: clients have no other scheduler to turn to, and in a rolling restart the one before this one
-    may not serve again yet.  ``leaving``: connections move to the process that has taken over.
+    ``alone``: there is no other scheduler for clients to move to; where there are others, one that was
+    restarted earlier in a rolling restart may not serve again yet.  ``leaving``: the successor takes over the
+    connections.
     """
-    arriving_until = told + STILL_ARRIVING
-    grace = min(longest, LONGEST_GRACE)
-    last = told + MUST_BE_ANSWERED + grace - min(LAST_ANSWERS, grace / 2)  # some of a short one is left
-    kept_until = last if alone or leaving else max(arriving_until, last - LAST_MOVES)
-    return Drain(arriving_until, last, kept_until)
+    arriving_until = signalled + ARRIVAL_GRACE
+    grace = min(max_deadline, MAX_KILL_GRACE)
+    last_answer = signalled + KILL_DELAY + grace - min(KILL_MARGIN, grace / 2)  # keeps half of a short grace
+    kept_until = last_answer if alone or leaving else max(arriving_until, last_answer - MOVE_TIME)
+    return Drain(arriving_until, last_answer, kept_until)
 
 
-def patience_left(asked: timedelta, came: timedelta, now: timedelta, drain: Drain | None) -> timedelta:
-    """What is left now of a client's patience; the request's last byte was here no earlier than ``came``.
+def patience_left(timeout: timedelta, received: timedelta, now: timedelta, drain: Drain | None) -> timedelta:
+    """Return the time left of a client's timeout; the request's last byte arrived at ``received`` or later.
 
-    Guards against SIGKILL, too, which would find unanswered what came late in a drain.
+    In a drain it ends with the last answers: SIGKILL would leave requests that arrive late unanswered.
     """
-    left = asked - (now - came)
+    left = timeout - (now - received)
     if drain is None or now < drain.arriving_until:
         return left
     return min(left, drain.answered_by - now)
 
 
-def give_up_at(now: timedelta, patience: timedelta) -> timedelta:
-    """When the final answer goes out at the latest, so that it is there before the client leaves."""
-    return now + patience - min(ANSWER_MARGIN, ANSWER_SHARE * patience)
+def give_up_at(now: timedelta, timeout: timedelta) -> timedelta:
+    """Return the latest time to send the final answer so that it arrives before the client leaves."""
+    return now + timeout - min(ANSWER_MARGIN, ANSWER_SHARE * timeout)
 
 
 def deadline_header(due: timedelta, now: timedelta) -> tuple[str, bytes]:
-    """What a worker is told of the time that is left, as its request is written."""
-    left = max(LEAST_TOLD, due - now)
+    """Return the header with the time left that a worker is sent, as of the writing of its request."""
+    left = max(MIN_DEADLINE, due - now)
     return "Req-Deadline", b"%dm" % (left // MILLISECOND)
--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -1,7 +1,7 @@
-"""What must never happen, checked where it would: one guard for sending, repeating, closing and starting.
+"""Invariants of sending, repeating, closing and starting, checked where they could be violated.
 
-Each check stands behind the decisions that ought to make it hold.  Where one fails, the violation is counted
-and logged, and what can still be left undone is left undone.
+The checks are a second line of defence behind the decisions that should ensure them.  A violation is counted
+and logged, and the violating action is not carried out where it can still be prevented.
 """
 
 from __future__ import annotations
@@ -20,75 +20,76 @@
 
 
 class Rule(Enum):
-    """The values are the words in the log."""
+    """The values appear in the log."""
 
-    ONE_ATTEMPT = "no attempt goes out where another one is out"
-    NO_UNSAFE_REPEAT = "what may have run is not sent again where a repeat does harm"
-    ANSWER_BEFORE_CLOSE = "a request that was read is answered before its connection is closed"
-    HALF_REQUEST = "a client that stops in the middle of a request has its error or a close in time"
-    ONE_START = "a scheduler begins to serve once"
+    ONE_ATTEMPT = "no attempt is sent while another one is open"
+    NO_UNSAFE_RETRY = "an unsafe job that may have run is not sent again"
+    ANSWER_BEFORE_CLOSE = "a complete request is answered before its connection is closed"
+    HALF_REQUEST = "an incomplete request is ended by an error or a close in time"
+    ONE_START = "a scheduler starts serving once"
 
 
-#: A worker calls again where its call-back has no answer.
-UNANSWERED_ON_PURPOSE: Final = frozenset({CloseReason.CALL_BACK_ELSEWHERE})
+#: A worker retries a callback that got no answer.
+UNANSWERED_REASONS: Final = frozenset({CloseReason.CALL_BACK_ELSEWHERE})
 
 
 class Invariants:
-    """Checks and counts; each process has one."""
+    """Checks the rules and counts violations; one per process."""
 
-    def __init__(self, counters: Counters, may_copy: Callable[[], bool]) -> None:
-        """``may_copy``: whether the settings of now allow two attempts of one request at a time."""
+    def __init__(self, counters: Counters, may_hedge: Callable[[], bool]) -> None:
+        """``may_hedge``: whether the current settings allow two open attempts of one request."""
         self._counters = counters
-        self._may_copy = may_copy
+        self._may_hedge = may_hedge
         self._started = False
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether a first or further attempt may go out beside and after the others of its request."""
+        """Whether an attempt may be sent, given the other attempts of its request."""
         tracked = attempt.tracked
         others = [other for other in tracked.attempts if other is not attempt]
-        out = [other for other in others if other.open]
-        if out and (
+        open_others = [other for other in others if other.open]
+        if open_others and (
             tracked.effect is io.Effect.UNSAFE
-            or not self._may_copy()
-            or any(other.target.id == attempt.target.id for other in out)
+            or not self._may_hedge()
+            or any(other.target.id == attempt.target.id for other in open_others)
         ):
             self._violated(Rule.ONE_ATTEMPT, id=tracked.job.id, worker=attempt.target.id)
             return False
         if tracked.effect is io.Effect.UNSAFE and any(_may_have_run(other) for other in others):
-            self._violated(Rule.NO_UNSAFE_REPEAT, id=tracked.job.id, worker=attempt.target.id)
+            self._violated(Rule.NO_UNSAFE_RETRY, id=tracked.job.id, worker=attempt.target.id)
             return False
         return True
 
-    def closing(self, connection: int, owed: bool, reason: CloseReason) -> None:
-        """This side closes a client's connection; ``owed``: a whole request on it has no answer yet."""
-        if owed and reason not in UNANSWERED_ON_PURPOSE:
+    def closing(self, connection: int, unanswered: bool, reason: CloseReason) -> None:
+        """Check the close of a client connection; ``unanswered``: a request read on it has no answer."""
+        if unanswered and reason not in UNANSWERED_REASONS:
             self._violated(Rule.ANSWER_BEFORE_CLOSE, connection=connection, why=reason.value)
 
     def half_request_ended(
-        self, connection: int, last_sign: timedelta, accepted: timedelta, now: timedelta
+        self, connection: int, last_activity: timedelta, accepted: timedelta, now: timedelta
     ) -> None:
-        """A client that has stopped in the middle of a request gets its error ``now``.
+        """Check that a client that stopped in the middle of a request gets its error in time, ``now``.
 
-        ``last_sign``: its connecting or the last part of its request; it was ``accepted`` no earlier.
+        ``last_activity``: when it connected or sent the last part of its request, whichever is later;
+        ``accepted``: when its connection was accepted, possibly later than it connected.
         """
-        if now > max(last_sign + OWED_WITHIN, accepted + 2 * LAST_CHANCE):
-            late = now - last_sign
-            self._violated(Rule.HALF_REQUEST, connection=connection, after=late.total_seconds())
+        if now > max(last_activity + OWED_WITHIN, accepted + 2 * LAST_CHANCE):
+            elapsed = now - last_activity
+            self._violated(Rule.HALF_REQUEST, connection=connection, after=elapsed.total_seconds())
 
     def start(self) -> bool:
-        """Whether the program may begin to serve, which it does once."""
+        """Whether the program may start to serve; False from the second call on."""
         if self._started:
             self._violated(Rule.ONE_START)
             return False
         self._started = True
         return True
 
-    def _violated(self, rule: Rule, **facts: object) -> None:
+    def _violated(self, rule: Rule, **fields: object) -> None:
         self._counters.invariants_violated += 1
-        log.logger().error("invariant_violated", rule=rule.value, **facts)
+        log.logger().error("invariant_violated", rule=rule.value, **fields)
 
 
 def _may_have_run(attempt: Attempt) -> bool:
-    """Where its end is not known, as from a process before this one, the module's word counts alone."""
-    ended = attempt.result
-    return not attempt.open and attempt.arrived and ended is not None and ended not in io.NEVER_RAN
+    """False where the result is unknown, as from a predecessor: the dispatcher's decision is trusted then."""
+    result = attempt.result
+    return not attempt.open and attempt.arrived and result is not None and result not in io.NEVER_RAN
--- a/carthinge/net/load.py
+++ b/carthinge/net/load.py
@@ -1,4 +1,4 @@
-"""Load reports as workers word them."""
+"""Parsing of workers' load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def read_load(body: bytes) -> dict[str, float]:
-    """A load report as ``name=value,...`` or as a JSON object; what is no finite number is left out."""
+    """Parse a load report, ``name=value,...`` or a JSON object; drop values that are not finite numbers."""
     text = body.decode("latin-1").strip()
     try:
         pairs = (
@@ -18,10 +18,10 @@
         )
     except msgspec.MsgspecError:
         return {}
-    return {name.strip(): figure for name, raw in pairs if math.isfinite(figure := _figure(raw))}
+    return {name.strip(): value for name, raw in pairs if math.isfinite(value := _number(raw))}
 
 
-def _figure(raw: object) -> float:
+def _number(raw: object) -> float:
     try:
         return float(str(raw))
     except ValueError:
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes: workers asked for their load, where the settings allow that and the module wants it."""
+"""Load probes of workers, sent where the settings allow them and the dispatcher asks for one."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
 from carthinge.net.worker_client import WorkerClient
 from carthinge.net.worker_directory import WorkerEndpoint
 
-PATH: Final = b"/metrics/load"
-ANSWERED_WITHIN: Final = 2  # times what a connection may take: that, and as much again for the answer
+LOAD_PATH: Final = b"/metrics/load"
+TIMEOUT_FACTOR: Final = 2  # connect timeouts: one to connect, one for the answer
 
 
 class Probes:
-    """Carries out what the module asks for; each probe has one result, which goes to ``tell``."""
+    """Sends probes; each has exactly one result, which is passed to ``report``."""
 
-    def __init__(self, loop: Loop, worker_client: WorkerClient, tell: Callable[[ProbeResult], None]) -> None:
+    def __init__(
+        self, loop: Loop, worker_client: WorkerClient, report: Callable[[ProbeResult], None]
+    ) -> None:
         self.loop = loop
         self.worker_client = worker_client
-        self._tell = tell
+        self._report = report
 
     def send(self, target: WorkerEndpoint, connect_timeout: timedelta) -> None:
-        """Asks a worker; one that cannot be reached or says nothing within its time has not answered."""
+        """Probe a worker; the probe fails if the worker is unreachable or does not answer in time."""
         probe = _Probe(self, target)
         caller = self.worker_client.connection(target.address)
-        self.loop.call_after(ANSWERED_WITHIN * connect_timeout, lambda: probe.cut(caller))
+        self.loop.call_after(TIMEOUT_FACTOR * connect_timeout, lambda: probe.time_out(caller))
         probe.caller = caller
         caller.start(probe)
 
     def ended(
-        self, target: WorkerEndpoint, result: Result, took: timedelta, report: tuple[float, ...]
+        self, target: WorkerEndpoint, result: Result, latency: timedelta, report: tuple[float, ...]
     ) -> None:
-        """Tell the result of a probe."""
-        self._tell(ProbeResult(target.number, result, took // MICROSECOND, report))
+        """Report the result of a probe."""
+        self._report(ProbeResult(target.number, result, latency // MICROSECOND, report))
 
 
 class _Probe:
-    """One probe, up to its result."""
+    """One probe in progress."""
 
     def __init__(self, probes: Probes, target: WorkerEndpoint) -> None:
         self.caller: Caller | None = None
@@ -52,19 +54,19 @@
         self._sent = probes.loop.now
 
     def request(self) -> bytes:
-        return call_bytes("GET", PATH, str(self._target.address))
+        return call_bytes("GET", LOAD_PATH, str(self._target.address))
 
     def written(self) -> None:
-        """Nothing follows from that."""
+        """Nothing to do: only the answer counts."""
 
     def answered(self, answer: Answer) -> None:
-        well = answer.status == HTTPStatus.OK
-        self.end(Result.OK if well else Result.ERROR, read_load(answer.body))
+        ok = answer.status == HTTPStatus.OK
+        self.end(Result.OK if ok else Result.ERROR, read_load(answer.body))
 
     def broken(self, written: bool, why: str) -> None:
         self.end(Result.RESET if written else Result.CONNECT_FAILED)
 
-    def cut(self, caller: Caller) -> None:
+    def time_out(self, caller: Caller) -> None:
         if caller.call is self:
             caller.close()
             self.end(Result.TIMEOUT)
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -1,4 +1,4 @@
-"""All tracked requests: what is owed to clients, what is out at workers.  No protocol is known here."""
+"""Tracker of all requests and of their attempts at workers, independent of any protocol."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from carthinge.net.worker_directory import WorkerEndpoint
 from carthinge.policy import Dispatcher
 
-CUT_SHORT: Final = "one that waits behind it has to have its answer"
+CUT_SHORT_REASON: Final = "a pipelined request behind it is due"
 
 
 class RequestTracker:
-    """All requests.  Collects what happened, has the module decide on it, carries out what it says."""
+    """Tracks all requests: collects events, passes them to the dispatcher and carries out its actions."""
 
     def __init__(
         self, loop: Loop, dispatcher: Dispatcher, targets: dict[int, WorkerEndpoint], counters: Counters
@@ -49,7 +49,7 @@
         self._counters = counters
         self._count = 0
         self._wake: Timer | None = None
-        self._carriers: dict[type, Callable[..., None]] = {
+        self._action_handlers: dict[type, Callable[..., None]] = {
             io.Send: self._send,
             io.Refuse: self._shed,
             io.Fail: self._fail,
@@ -60,15 +60,15 @@
             io.Probe: lambda action: self.probe(targets[action.worker]),
         }
 
-    # ---- what happens ---------------------------------------------------------------------
+    # ---- events ---------------------------------------------------------------------------
 
     def tell(self, event: io.Event) -> None:
-        """Something that concerns no request."""
+        """Add an event that concerns no single request."""
         self.events.append(event)
 
     def take(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None = None) -> TrackedRequest:
-        """A whole request has come: one final answer is owed from now on."""
-        tracked = self._enter(job, terms, client, keeper)
+        """Start to track a complete request, which gets exactly one final answer."""
+        tracked = self._track(job, terms, client, keeper)
         self._counters.taken += 1
         self.events.append(self._arrival(tracked, terms))
         return tracked
@@ -76,8 +76,8 @@
     def restore(
         self, job: Job, terms: Terms, client: Client, keeper: Keeper, attempts: Sequence[Sent]
     ) -> TrackedRequest:
-        """A job that was taken before a crash, with the attempts that it has had."""
-        tracked = self._enter(job, terms, client, keeper)
+        """Track a job that was accepted before a crash, with its earlier attempts."""
+        tracked = self._track(job, terms, client, keeper)
         self._counters.requests_recovered += 1
         self.events.append(io.Restore(self._arrival(tracked, terms), [sent.memory for sent in attempts]))
         for number, sent in enumerate(attempts):
@@ -97,7 +97,7 @@
         tracked.attempt_changed()
         return tracked
 
-    def _enter(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None) -> TrackedRequest:
+    def _track(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None) -> TrackedRequest:
         self._count += 1
         give_up = give_up_at(self._loop.now, terms.patience)
         tracked = TrackedRequest(
@@ -128,7 +128,7 @@
         )
 
     def give_away(self, tracked: TrackedRequest) -> None:
-        """Another process has taken it over, with its client and with the attempt that is out."""
+        """Stop tracking a request that another process took over, with its client and its open attempt."""
         if tracked.owed:
             tracked.client_gone("given_away")
         self._counters.requests_given_away += 1
@@ -140,7 +140,7 @@
         self._forget_if_over(tracked)
 
     def take_over(self, tracked: TrackedRequest, tenant: int, memory: io.JobMemory) -> None:
-        """The other side of that; its number becomes one of this tracker's."""
+        """Track a request handed over by another process, under a number of this tracker."""
         self._count += 1
         tracked.number = self._count
         self.tracked_requests[tracked.number] = self.by_id[tracked.job.id] = tracked
@@ -152,55 +152,55 @@
         tracked.attempt_changed()
 
     def abandon(self, tracked: TrackedRequest) -> None:
-        """The client has gone."""
+        """Abandon a request whose client has left."""
         if tracked.owed:
             tracked.client_gone("client_left")
             self._counters.client_gone += 1
-            self._call_off(tracked)
+            self._report_abandoned(tracked)
 
-    def _call_off(self, tracked: TrackedRequest) -> None:
-        """Nothing is owed any more, and not by a decision of the module."""
+    def _report_abandoned(self, tracked: TrackedRequest) -> None:
+        """Report to the dispatcher that a request has ended without a decision of its own."""
         self.events.append(io.Abandoned(tracked.number))
         for attempt in list(tracked.out()):
             self.target.client_left(attempt)
         self._forget_if_over(tracked)
 
     def cut_short(self, tracked: TrackedRequest) -> None:
-        """Its final answer is due now, for the sake of another that has to follow it."""
+        """Answer a request now, since the answer to a request pipelined behind it is due."""
         if not tracked.owed:
             return
         if tracked.attempts:
-            self._count_failed(tracked, CUT_SHORT)
+            self._count_failed(tracked, CUT_SHORT_REASON)
             tracked.client.fail(timed_out=True)
         else:
-            self._count_refused(tracked, CUT_SHORT)
+            self._count_refused(tracked, CUT_SHORT_REASON)
             tracked.client.shed(timedelta())
-        self._call_off(tracked)
+        self._report_abandoned(tracked)
 
     def serve_late(self, tracked: TrackedRequest, result: bytes) -> None:
-        """A result has come from an attempt that had ended, and nobody has the job since."""
+        """Serve the result of an attempt that had already ended, when no other attempt is open."""
         if tracked.owed:
             self._serve(tracked, result)
             self.events.append(io.Abandoned(tracked.number))
             self._forget_if_over(tracked)
 
     def expire(self, attempt: Attempt) -> None:
-        """Its lease is over: for the module it has timed out, once its worker has been told."""
+        """Withdraw an attempt whose lease has expired; it ends as a timeout once the withdrawal is done."""
         if attempt.open:
             self._withdraw(attempt, io.Result.TIMEOUT)
 
     def arrived(self, attempt: Attempt) -> None:
-        """The last byte of an attempt is written."""
+        """Note that the last byte of an attempt has been written."""
         if not attempt.arrived:
             attempt.arrived = True
             self._counters.attempts_written += 1
 
     def in_flight(self) -> int:
-        """How many are owed an answer."""
+        """Return the number of unanswered requests."""
         return sum(tracked.owed for tracked in self.tracked_requests.values())
 
     def note(self, attempt: Attempt, done: float | None, begun: bool = True) -> None:
-        """News of an attempt that is out: at the least that its worker has it."""
+        """Report progress of an open attempt, at the least that its worker has received it."""
         if attempt.open:
             self.events.append(
                 io.Note(attempt.tracked.number, attempt.number, attempt.target.number, done, begun)
@@ -210,11 +210,11 @@
         self,
         attempt: Attempt,
         result: io.Result,
-        report: tuple[float, ...] = (),
+        load_report: tuple[float, ...] = (),
         answer: bytes = b"",
         why: str = "",
     ) -> None:
-        """An attempt has ended; only its first end counts."""
+        """End an attempt; only the first call has an effect."""
         if not attempt.open:
             return
         attempt.open = False
@@ -242,7 +242,7 @@
                 result,
                 latency // MICROSECOND,
                 not tracked.owed,
-                report,
+                load_report,
             )
         )
         self._forget_if_over(tracked)
@@ -254,25 +254,22 @@
         tracked.client.serve(result)
 
     def reject(self, attempt: Attempt, why: str) -> None:
-        """The worker has turned the request away as unusable, as any other would.
-
-        Guards against bad requests that are tried at one worker after the other and count against each.
-        """
+        """Fail a request rejected as unusable: other workers would reject it too, and all would be blamed."""
         tracked = attempt.tracked
         if attempt.open and tracked.owed:
-            self._count_failed(tracked, "no worker can use it")
+            self._count_failed(tracked, "the request was rejected as unusable")
             tracked.client.reject()
         self.end(attempt, io.Result.NOT_SENT, why=why)
 
-    # ---- what is decided ------------------------------------------------------------------
+    # ---- actions --------------------------------------------------------------------------
 
     def decide(self) -> None:
-        """One call of the module for all that has come up; does what it says."""
+        """Pass all collected events to the dispatcher in one call and carry out its actions."""
         if not self.events:
             return
         events, self.events = self.events, []
         for action in self._dispatcher.handle(self._loop.now // MICROSECOND, events):
-            self._carriers[type(action)](action)
+            self._action_handlers[type(action)](action)
 
     def _send(self, action: io.Send) -> None:
         tracked = self.tracked_requests[action.request]
@@ -284,7 +281,7 @@
         attempt = Attempt(tracked, len(tracked.attempts), self._targets[action.worker], now, due, start_by)
         tracked.attempts.append(attempt)
         tracked.attempt_changed()
-        if self._stopped(attempt):
+        if self._end_if_unsendable(attempt):
             return
         attempt.timer = self._loop.call_at(due, lambda: self._time_out(attempt))
         if tracked.keeper is None:
@@ -294,60 +291,58 @@
             tracked.keeper.grant(attempt, partial(self._granted, attempt))
 
     def why_not_sent(self, attempt: Attempt) -> str | None:
-        """Why an attempt of which nothing has gone out must not go out now; None where it may.
-
-        Asked when it is decided on, and again when its connection is up.
-        """
+        """Return why an unsent attempt must not be sent now, or None if it may be.  Checked when the
+        dispatcher has decided to send it, and again when its connection is up."""
         tracked, now = attempt.tracked, self._loop.clock.now()
         if not attempt.open:
-            return "it has ended"
+            return "the attempt has ended"
         if tracked.owed and tracked.client.has_left():
             self.abandon(tracked)
         if not tracked.owed:
-            return "its client has left"
+            return "the client has left"
         if now >= attempt.due:
-            return "its time is over"
+            return "the attempt has timed out"
         if attempt.start_by is not None and now >= attempt.start_by:
-            return "a repeat is not harmless any more"
+            return "the window for a safe retry is over"
         if attempt.target.left:
-            return "its worker leaves"
-        return None if self.invariants.may_send(attempt) else "it would break a rule"
+            return "the worker is leaving"
+        return None if self.invariants.may_send(attempt) else "an invariant would be violated"
 
-    def _stopped(self, attempt: Attempt) -> bool:
-        """Ends an attempt that must not go out now; False for one that may."""
-        why_not = self.why_not_sent(attempt)
-        if why_not is not None:
-            self.end(attempt, io.Result.NOT_SENT, why=why_not)
-        return why_not is not None
+    def _end_if_unsendable(self, attempt: Attempt) -> bool:
+        """End an attempt that must not be sent now; return whether it was ended."""
+        reason = self.why_not_sent(attempt)
+        if reason is not None:
+            self.end(attempt, io.Result.NOT_SENT, why=reason)
+        return reason is not None
 
     def _granted(self, attempt: Attempt) -> None:
-        """Its grant is on disk, unless it was given up before that."""
+        """Send an attempt whose grant is on disk, unless it has ended before that."""
         if attempt.open:
             attempt.held_back = False
-            if not self._stopped(attempt):
+            if not self._end_if_unsendable(attempt):
                 self._start(attempt)
 
     def _start(self, attempt: Attempt) -> None:
         self._counters.attempts += 1
         tracked = attempt.tracked
-        before = tracked.attempts[attempt.number - 1].result if attempt.number else None
+        previous = tracked.attempts[attempt.number - 1].result if attempt.number else None
         log.logger().debug(
             "attempt_sent",
             id=tracked.job.id,
             worker=attempt.target.id,
             attempt=attempt.number,
-            after=before.name if before is not None else "",
+            after=previous.name if previous is not None else "",
         )
         self.target.send(attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
-        """At the client's deadline no other attempt can follow: the answer must not wait for the worker."""
+        """Withdraw an attempt; at the client's deadline, when no other can follow, end it without waiting."""
         self._withdraw(attempt, io.Result.TIMEOUT)
         if attempt.due >= attempt.tracked.give_up:
             self.end(attempt, io.Result.TIMEOUT)
 
     def _withdraw(self, attempt: Attempt, result: io.Result) -> None:
-        """The end is told once the worker knows: the module may send the next attempt at once."""
+        """Withdraw an attempt and end it once the worker knows: the dispatcher may then send the next one."""
         if attempt.held_back:
             self.end(attempt, io.Result.NOT_SENT)
         elif not attempt.leaving:
@@ -385,7 +380,7 @@
         self.ended.failed[tracked.class_name] += 1
 
     def _set_timer(self, action: io.SetTimer) -> None:
-        """The module asks again after each wake, so that an earlier one takes the place of the one before."""
+        """Replace the timer: the dispatcher sets it anew after each wake-up."""
         if self._wake is not None:
             self._wake.cancel()
         self._wake = self._loop.call_at(action.due * MICROSECOND, partial(self.tell, io.Timer(action.token)))
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -1,4 +1,4 @@
-"""A client's request as a tracked request, and its attempts at workers.  No protocol is known here."""
+"""Tracked requests of clients and their attempts at workers, independent of any protocol."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What a client wants done, in the terms of no protocol."""
+    """A job as its client sent it, independent of the protocol."""
 
     id: str
-    subject: bytes  #: what it is about, passed on as it came
+    subject: bytes  #: the request target, passed on unchanged
     body: bytes
-    headers: tuple[tuple[str, bytes], ...] = ()  #: what else is passed on as it came
+    headers: tuple[tuple[str, bytes], ...] = ()  #: other headers passed on unchanged
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """How a job counts for the decisions."""
+    """Properties of a job that the dispatcher decides by."""
 
     job_class: int
     class_name: str
     tenant: int
     tenant_name: str
-    patience: timedelta  #: how long its client waits from now
+    patience: timedelta  #: how long its client waits, from now
     key: int = 0
     hint: timedelta | None = None
     slots: float = 1.0
     memory: float = 0.0
     repeat: bool = False
-    effect: io.Effect = io.Effect.SAFE  #: of running it twice
+    effect: io.Effect = io.Effect.SAFE  #: of running the job twice
 
 
 class Client(Protocol):
-    """Whoever sent a request: gets exactly one of the other calls, unless it abandons the request first."""
+    """The sender of a request: gets exactly one final answer, unless it abandons the request first."""
 
     def has_left(self) -> bool:
-        """It has closed its connection, as far as this machine knows by now."""
+        """Whether it is known to have closed its connection."""
 
     def serve(self, result: bytes) -> None:
-        """Take the result."""
+        """Answer with the result."""
 
-    def shed(self, stay_away: timedelta) -> None:
-        """Hear that the request is refused, and for how long to stay away."""
+    def shed(self, retry_after: timedelta) -> None:
+        """Answer that the request is refused and after which time it may be sent again."""
 
     def fail(self, timed_out: bool) -> None:
-        """Hear that the request has failed."""
+        """Answer that the request has failed."""
 
     def reject(self) -> None:
-        """No worker could use the request."""
+        """Answer that no worker can use the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """An attempt of a tracked request that is restored, and what the module is to know of it."""
+    """An attempt of a restored request, with what the dispatcher is told of it."""
 
     target: WorkerEndpoint
     sent: timedelta
@@ -72,62 +72,62 @@
 
 
 class Keeper(Protocol):
-    """Who writes down what happens to a tracked request whose job is durable."""
+    """Records the attempts of a tracked request whose job is durable."""
 
     def grant(self, attempt: Attempt, go: Callable[[], None]) -> None:
-        """An attempt is to be sent; ``go`` is called once it may be, or never."""
+        """Record an attempt before it is sent; ``go`` is called once it may be sent, if ever."""
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
-        """Its worker has given a sign."""
+        """Renew the lease of an attempt; ``begun``: its worker has started it."""
 
     def attempt_ended(self, attempt: Attempt, result: io.Result) -> None:
-        """Comes before the client hears of it, if that follows."""
+        """Record the end of an attempt, before the client gets an answer that follows from it."""
 
 
 class Target(Protocol):
-    """Workers' side of all tracked_requests."""
+    """Sends attempts to workers and withdraws them."""
 
     def send(self, attempt: Attempt) -> None:
-        """Starts an attempt; the tracker hears of its end."""
+        """Start an attempt; its end is reported to the tracker."""
 
     def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
-        """Gives an attempt up; ``gone`` is called once the worker cannot miss that."""
+        """Withdraw an attempt; ``gone`` is called once the worker knows or is certain to learn of it."""
 
     def client_left(self, attempt: Attempt) -> None:
-        """Its client has gone: nothing of it may go out any more, if nothing has."""
+        """Drop an attempt whose client has left, if nothing of it has been sent."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a tracked request to one worker."""
+    """One attempt of a tracked request at one worker."""
 
     tracked: TrackedRequest
     number: int
     target: WorkerEndpoint
     sent: timedelta
     due: timedelta
-    start_by: timedelta | None = None  # it may not go out later, where a repeat is harmless up to then
+    start_by: timedelta | None = None  # not sent later: a retry is safe only until then
     open: bool = True
-    leaving: bool = False  # given up, but its worker may not know yet
-    arrived: bool = False  # its last byte is written: what the worker says may be about it
-    held_back: bool = False  # until its grant is on disk; nothing of it has been sent
-    token: int = 0  # of its lease; 0 without one
+    leaving: bool = False  # being withdrawn: its worker may not know yet
+    arrived: bool = False  # its last byte is written: reports of the worker may refer to it
+    held_back: bool = False  # until its grant is on disk; nothing of it is sent before
+    token: int = 0  # of its lease; 0 if it has none
     timer: Timer | None = None
-    result: io.Result | None = None  # how it has ended; None while it is open, or where that is not known
+    result: io.Result | None = None  # None while it is open, and where its result is unknown
 
 
 class RequestState(Enum):
-    """A request's life.  QUEUED and SENT may alternate; the two others are final."""
+    """Life cycle of a request.  QUEUED and SENT may alternate; the other two are final."""
 
-    QUEUED = 1  #: owed an answer, and no attempt is out
-    SENT = 2  #: owed an answer, and an attempt is out
-    ANSWERED = 3  #: its one final answer is written
-    CLIENT_GONE = 4  #: nobody waits for an answer any more, here at least
+    QUEUED = 1  #: unanswered, with no open attempt
+    SENT = 2  #: unanswered, with an open attempt
+    ANSWERED = 3  #: its final answer has been sent
+    CLIENT_GONE = 4  #: no client waits for an answer in this process any more
 
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """A client's request from its arrival to the end of its last attempt."""
+    """A client's request, from its arrival to the end of its last attempt."""
 
     number: int
     job: Job
@@ -138,27 +138,27 @@
     state: RequestState = RequestState.QUEUED
     attempts: list[Attempt] = field(default_factory=list)
     keeper: Keeper | None = None
-    effect: io.Effect = io.Effect.SAFE  #: of running it twice
+    effect: io.Effect = io.Effect.SAFE  #: of running the job twice
 
     @property
     def owed(self) -> bool:
-        """A final answer is owed to its client."""
+        """Whether its client still has to get a final answer."""
         return self.state in (RequestState.QUEUED, RequestState.SENT)
 
     def attempt_changed(self) -> None:
-        """To be called when an attempt has begun or ended."""
+        """Update the state; to be called when an attempt has been added or has ended."""
         if self.owed:
             self.state = RequestState.QUEUED if self.current() is None else RequestState.SENT
 
     def answered(self, how: str, why: str = "") -> None:
-        """Note that the final answer is written; the log tells ``how`` it ended, and why if it failed."""
-        assert self.owed, "a request has one final answer"
+        """Mark the request as answered; the log shows ``how`` it ended, and why if it was not served."""
+        assert self.owed, "a request gets one final answer"
         self.state = RequestState.ANSWERED
         self._log_end(how, why)
 
     def client_gone(self, how: str) -> None:
-        """Note that nobody waits for an answer any more, here at least."""
-        assert self.owed, "it was answered before"
+        """Mark the request as one whose client no longer waits for an answer in this process."""
+        assert self.owed, "the request has been answered already"
         self.state = RequestState.CLIENT_GONE
         self._log_end(how, "")
 
@@ -166,13 +166,13 @@
         log.logger().debug("request_ended", id=self.job.id, state=how, attempts=len(self.attempts), why=why)
 
     def current(self) -> Attempt | None:
-        """The first attempt that is out; where second copies are allowed it need not be the only one."""
+        """Return the first open attempt; with hedging it need not be the only one."""
         return next(self.out(), None)
 
     def out(self) -> Iterator[Attempt]:
-        """All attempts that are out."""
+        """Iterate over the open attempts."""
         return (attempt for attempt in self.attempts if attempt.open)
 
     def out_at(self, worker: str) -> Attempt | None:
-        """The attempt that is out at a worker: no worker has two of one job."""
+        """Return the open attempt at a worker: a worker never has two of one job."""
         return next((attempt for attempt in self.out() if attempt.target.id == worker), None)
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -1,4 +1,4 @@
-"""WorkerClient: attempts as HTTP calls to workers, over connections that are kept and used again."""
+"""HTTP client for workers: sends and withdraws attempts over a pool of reused connections."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from carthinge.net.tracked_request import Attempt
 from carthinge.settings import Site
 
-IDLE_MARGIN: Final = timedelta(milliseconds=300)  # idle connections are closed so long before workers do
-DELETE_AGAIN: Final = timedelta(milliseconds=20)  # after one that was reset or could not be sent
-DELETE_AGAIN_MOST: Final = timedelta(milliseconds=320)  # after several in a row
-ARRIVES_WITHIN: Final = 0.4  # of the time to connect, in which the network goes to and fro: a written DELETE
-ARRIVES_LEAST: Final = timedelta(milliseconds=100)  # on a fast one it is the worker that may be slow to read
-LEFT: Final = "its worker leaves"
-CLIENT_LEFT: Final = "its client has left"
-UNUSABLE: Final = (HTTPStatus.BAD_REQUEST, HTTPStatus.NOT_FOUND)  # the request's fault, not the worker's
-NEEDED: Final = ("free_slots",)  # of a load report
-LATE_ANSWER: Final = 8  # times that: for an answer on which nothing depends any more
+IDLE_MARGIN: Final = timedelta(milliseconds=300)  # between our close of an idle connection and its worker's
+DELETE_RETRY_DELAY: Final = timedelta(milliseconds=20)  # after a DELETE that was reset or could not be sent
+MAX_DELETE_RETRY_DELAY: Final = timedelta(milliseconds=320)  # after several of them in a row
+DELETE_TRANSIT_SHARE: Final = 0.4  # of the connect timeout, a round trip: a DELETE goes one way
+MIN_DELETE_TRANSIT: Final = timedelta(milliseconds=100)  # on a fast network the worker may be slow to read
+WORKER_LEAVING: Final = "the worker is leaving"
+CLIENT_LEFT: Final = "the client has left"
+REJECTED_STATUSES: Final = (HTTPStatus.BAD_REQUEST, HTTPStatus.NOT_FOUND)  # due to the request
+REQUIRED_FIELDS: Final = ("free_slots",)  # in a load report
+LATE_ANSWER_FACTOR: Final = 8  # connect timeouts, for an answer on which nothing depends any more
 
 
 class WorkerClient:
-    """The pool of connections to workers and the calls that are on them."""
+    """The pool of connections to workers, and the calls in progress on them."""
 
     def __init__(
         self, loop: Loop, site: Site, tracker: RequestTracker, counters: Counters, most: int
@@ -45,23 +45,23 @@
         self._tracker = tracker
         self._counters = counters
         self.most = most
-        self.lease = timedelta()  # how long a lease holds, where attempts have one
+        self.lease = timedelta()  # duration of a lease, where attempts have one
         self._open: set[Caller] = set()
-        self._idle: OrderedDict[Caller, timedelta] = OrderedDict()  # idle since, the longest first
+        self._idle: OrderedDict[Caller, timedelta] = OrderedDict()  # idle since, oldest first
         self._calls: dict[Attempt, _AttemptCall] = {}
-        self._sweeping = False
+        self._expiry_scheduled = False
 
     def retune(self, site: Site) -> None:
-        """Take other settings for calls from now on."""
+        """Use other settings for calls from now on."""
         self._site = site
 
     def report(self, values: dict[str, float]) -> tuple[float, ...]:
-        """A load report in the module's order; none where a figure is missing that the module reads."""
+        """Return a load report in the dispatcher's order; empty if a required value is missing."""
         site = self._site
-        # Guards against a figure that nobody reads, left out or worded otherwise, taking the others with it.
+        # A missing value that the dispatcher does not read must not invalidate the others.
         if not values or any(
-            read in NEEDED and name not in values
-            for name, read in zip(site.report_fields, site.decisions.report_fields, strict=True)
+            decision_field in REQUIRED_FIELDS and name not in values
+            for name, decision_field in zip(site.report_fields, site.decisions.report_fields, strict=True)
         ):
             return ()
         return tuple(values.get(name, 0.0) for name in site.report_fields)
@@ -70,20 +70,20 @@
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        caller = self._connection(attempt.target.address)
+        caller = self._acquire(attempt.target.address)
         call = self._calls[attempt] = _AttemptCall(self, caller, attempt)
         caller.start(call)
 
-    def request_of(self, attempt: Attempt) -> bytes | None:
-        """An attempt as it is written now that its connection is up; None where it must not go out any more.
+    def encode_attempt(self, attempt: Attempt) -> bytes | None:
+        """Encode an attempt whose connection is up; None if it must not be sent any more.
 
-        It is put together no earlier: connections come up late, and what its worker is told of the time that
-        is left has to be true when it goes out.
+        It is not encoded earlier: a connection may come up late, and the time left that the worker is sent
+        has to be true when the request is written.
         """
-        why_not = self._tracker.why_not_sent(attempt)
-        if why_not is not None:
+        reason = self._tracker.why_not_sent(attempt)
+        if reason is not None:
             self._calls.pop(attempt, None)
-            self.ended(attempt, Result.NOT_SENT, None, why_not)
+            self.ended(attempt, Result.NOT_SENT, None, reason)
             return None
         job = attempt.tracked.job
         headers = [
@@ -99,98 +99,98 @@
         return call_bytes("POST", job.subject, str(attempt.target.address), headers, job.body)
 
     def stop_unsent(self) -> None:
-        """Of the attempts at workers that leave, those whose connection is not up yet.
+        """Cancel the attempts at leaving workers whose connection is not up yet.
 
-        Guards against a connection that takes longer to come up than the grace for drains is: with its
-        first byte after that, the attempt would be new work for a worker that takes none.
+        A connection may take longer to come up than the grace of a drain: an attempt that begins after that
+        would be new work for a worker that accepts none.
         """
         for attempt, call in list(self._calls.items()):
             if attempt.target.left and call.caller.connecting:
-                self._stop_unsent(attempt, call, LEFT)
+                self._cancel_unsent(attempt, call, WORKER_LEAVING)
 
     def client_left(self, attempt: Attempt) -> None:
-        """Of an attempt whose connection is not up yet nothing may go out any more, whatever the settings
-        say of withdrawals: its worker has not heard of it."""
+        """Cancel an attempt whose connection is not up yet, even if the settings allow no withdrawals: its
+        worker does not know of it."""
         call = self._calls.get(attempt)
         if call is not None and call.caller.connecting:
-            self._stop_unsent(attempt, call, CLIENT_LEFT)
+            self._cancel_unsent(attempt, call, CLIENT_LEFT)
 
-    def _stop_unsent(self, attempt: Attempt, call: _AttemptCall, why: str) -> None:
+    def _cancel_unsent(self, attempt: Attempt, call: _AttemptCall, why: str) -> None:
         del self._calls[attempt]
-        self._drop(call.caller, CloseReason.NOT_WANTED)
+        self._close(call.caller, CloseReason.NOT_WANTED)
         self.ended(attempt, Result.NOT_SENT, None, why)
 
     def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
-        """Give an attempt up; ``gone`` is called once its worker cannot miss that."""
+        """Withdraw an attempt; ``gone`` is called once its worker knows or is certain to learn of it."""
         call = self._calls.pop(attempt, None)
-        if call is not None:  # before its 202 has come, closing is enough; but that may be lost on its way
-            self._drop(call.caller, CloseReason.NOT_WANTED)
+        if call is not None:  # closing is enough before the 202, but the 202 may be on its way
+            self._close(call.caller, CloseReason.NOT_WANTED)
             if not attempt.arrived:
-                self.withdrawn(attempt, "never sent")
+                self.log_withdrawn(attempt, "never sent")
                 gone()
                 return
         self._counters.withdrawn += 1
-        self._delete(attempt, gone, DELETE_AGAIN)
+        self._delete(attempt, gone, DELETE_RETRY_DELAY)
 
-    def _delete(self, attempt: Attempt, gone: Callable[[], None], again: timedelta) -> None:
-        caller = self._connection(attempt.target.address)
+    def _delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta) -> None:
+        caller = self._acquire(attempt.target.address)
         connect = self._site.connect_timeout
-        within = max(ARRIVES_LEAST, ARRIVES_WITHIN * connect)
-        withdrawal = _Withdrawal(self._loop, self, caller, attempt, gone, again, within)
-        self._loop.call_after(LATE_ANSWER * connect, withdrawal.cut)
+        transit_time = max(MIN_DELETE_TRANSIT, DELETE_TRANSIT_SHARE * connect)
+        withdrawal = _Withdrawal(self._loop, self, caller, attempt, gone, delay, transit_time)
+        self._loop.call_after(LATE_ANSWER_FACTOR * connect, withdrawal.time_out)
         caller.start(withdrawal)
 
-    def not_withdrawn(self, attempt: Attempt, gone: Callable[[], None], again: timedelta, why: str) -> None:
-        """Guards against a DELETE that was reset on its way, or never sent since its worker cannot be reached
-        from here or, draining, takes no further connection: it runs the attempt all the same, and the next
-        one would be a second copy.  Sent ``again`` after so long; where a worker has died, its agent tells.
+    def retry_delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta, why: str) -> None:
+        """Retry a DELETE that was reset or could not be sent, after ``delay``: a worker that is unreachable,
+        or draining and accepts no connections, still runs the attempt, and the next attempt would be a
+        second copy.  The death of a worker is reported by its agent.
         """
         log.logger().debug("not_withdrawn", id=attempt.tracked.job.id, worker=attempt.target.id, why=why)
         give_up = attempt.tracked.give_up
         if not attempt.open:
             gone()
-        elif self._loop.clock.now() + again < give_up:
+        elif self._loop.clock.now() + delay < give_up:
             self._counters.withdrawn_again += 1
-            later = min(2 * again, DELETE_AGAIN_MOST)
-            self._loop.call_after(again, lambda: self._delete(attempt, gone, later))
-        else:  # not before: in the time that is left another attempt could follow
+            next_delay = min(2 * delay, MAX_DELETE_RETRY_DELAY)
+            self._loop.call_after(delay, lambda: self._delete(attempt, gone, next_delay))
+        else:  # not earlier: another attempt could follow in the time left
             self._loop.call_at(give_up, gone)
 
-    def withdrawn(self, attempt: Attempt, how: str) -> None:
-        """Its worker knows, or will before it can hear of anything sent later."""
+    def log_withdrawn(self, attempt: Attempt, how: str) -> None:
+        """Log that a worker knows of a withdrawal, or will before it receives anything sent later."""
         log.logger().debug("withdrawn", id=attempt.tracked.job.id, worker=attempt.target.id, how=how)
 
     def ended(self, attempt: Attempt, result: Result, answer: Answer | None, why: str) -> None:
-        """The call of an attempt has told its end."""
+        """Report the end of an attempt to the tracker."""
         self._tracker.end(attempt, result, self._report_of(answer), why=why)
 
-    def unusable(self, attempt: Attempt, why: str) -> None:
-        """Hear that a worker cannot use the request."""
+    def reject(self, attempt: Attempt, why: str) -> None:
+        """Report to the tracker that a worker rejected the request as unusable."""
         self._tracker.reject(attempt, why)
 
     def arrived(self, attempt: Attempt) -> None:
-        """Hear that the last byte of an attempt is written."""
+        """Report to the tracker that the last byte of an attempt is written."""
         self._tracker.arrived(attempt)
 
-    def takes_part(self, attempt: Attempt) -> None:
-        """Its worker knows of leases, and holds one from now on."""
+    def lease_accepted(self, attempt: Attempt) -> None:
+        """Renew the lease of an attempt: its worker supports leases and holds one from now on."""
         keeper = attempt.tracked.keeper
         if keeper is not None and attempt.open:
             keeper.renew(attempt, False)
 
     def calling(self, attempt: Attempt) -> bool:
-        """Its POST is under way, up to the 202."""
+        """Whether the POST of an attempt is in progress, up to its 202."""
         return attempt in self._calls
 
-    def over(self, attempt: Attempt) -> None:
-        """The call of an attempt is over, whether or not the attempt is."""
+    def call_ended(self, attempt: Attempt) -> None:
+        """Forget the call of an attempt, which has ended; the attempt may go on."""
         self._calls.pop(attempt, None)
 
     def forsake(self, attempt: Attempt) -> None:
-        """An attempt has ended by a call-back; its 202 may be on its way still, but not for long."""
+        """Limit the wait for the 202 of an attempt that was ended by a callback."""
         call = self._calls.get(attempt)
         if call is not None:
-            self._loop.call_after(LATE_ANSWER * self._site.connect_timeout, call.cut)
+            self._loop.call_after(LATE_ANSWER_FACTOR * self._site.connect_timeout, call.time_out)
 
     def _report_of(self, answer: Answer | None) -> tuple[float, ...]:
         raw = answer.headers.get(b"srv-load") if answer is not None else None
@@ -201,50 +201,50 @@
     # ---- connections ----------------------------------------------------------------------
 
     def connection(self, address: Address) -> Caller:
-        """For a call that is no attempt; ``free`` takes it back."""
-        return self._connection(address)
+        """Acquire a connection for a call that is not an attempt; ``free`` returns it to the pool."""
+        return self._acquire(address)
 
-    def _connection(self, address: Address) -> Caller:
-        """An idle connection, the one used last before all others, or a new one."""
+    def _acquire(self, address: Address) -> Caller:
+        """Acquire an idle connection, the most recently used first, or open a new one."""
         for caller in reversed(self._idle):
             if caller.address == address:
                 del self._idle[caller]
                 if caller.usable():
                     return caller
-                # Its worker has closed it: a call on it would end as a reset, which proves nothing.
-                self._drop(caller, CloseReason.WORKER_CLOSED)
-                return self._connection(address)
+                # Closed by its worker: a call on it would end in a reset, which leaves open whether it ran.
+                self._close(caller, CloseReason.WORKER_CLOSED)
+                return self._acquire(address)
         caller = Caller(self._loop, address, self._site.connect_timeout)
-        caller.admitted = lambda: self._admit(caller)
+        caller.may_open = lambda: self._reserve(caller)
         caller.open()
         return caller
 
-    def _admit(self, caller: Caller) -> bool:
-        """Whether one more connection may be opened; one that nobody uses makes room."""
-        if caller in self._open:  # it was, and this machine was short of something else
+    def _reserve(self, caller: Caller) -> bool:
+        """Reserve room in the pool for a connection, closing an idle one if needed; False if it is full."""
+        if caller in self._open:  # admitted before, but the connect met a local resource shortage
             return True
         if len(self._open) >= self.most:
             if not self._idle:
                 return False
-            self._drop(next(iter(self._idle)), CloseReason.POOL_FULL)
+            self._close(next(iter(self._idle)), CloseReason.POOL_FULL)
         self._open.add(caller)
         self._counters.connections_out += 1
         return True
 
     def close_idle(self, address: Address) -> None:
-        """Guards against connections to a worker that is restarted by hand: what is sent on them is lost."""
+        """Close the idle connections to a worker that may be restarted by hand: calls on them would fail."""
         for caller in [caller for caller in self._idle if caller.address == address]:
-            self._drop(caller, CloseReason.WORKER_OUT)
+            self._close(caller, CloseReason.WORKER_OUT)
 
     def adopt(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
-        """An idle connection of the process before this one."""
+        """Add an idle connection of the predecessor process to the pool."""
         caller = Caller(self._loop, address, self._site.connect_timeout)
         caller.adopt(sock)
         self._open.add(caller)
-        self._keep_idle(caller, idle_since)
+        self._add_idle(caller, idle_since)
 
     def release_idle(self) -> Iterator[tuple[socket.socket, Address, timedelta]]:
-        """Lets go of the connections on which nothing is under way."""
+        """Remove the idle connections from the pool: yield the usable ones, close the others."""
         idle, self._idle = self._idle, OrderedDict()
         for caller, since in idle.items():
             self._open.discard(caller)
@@ -254,45 +254,45 @@
                 caller.close()
 
     def free(self, caller: Caller) -> None:
-        """A call is over: its connection is kept for the next one, if it still stands."""
+        """Return a connection to the pool after a call, or drop it if it is closed."""
         if caller.closed:
-            self._drop(caller, CloseReason.UNUSABLE)
+            self._close(caller, CloseReason.UNUSABLE)
         else:
-            self._keep_idle(caller, self._loop.now)
+            self._add_idle(caller, self._loop.now)
 
-    def unused(self, caller: Caller) -> None:
-        """It has come up for a call that is not wanted any more: kept from the next turn on."""
+    def free_later(self, caller: Caller) -> None:
+        """Return a connection whose call was dropped to the pool, in the next turn of the loop."""
         self._loop.soon(lambda: self.free(caller))
 
-    def _keep_idle(self, caller: Caller, since: timedelta) -> None:
+    def _add_idle(self, caller: Caller, since: timedelta) -> None:
         self._idle[caller] = since
-        if not self._sweeping:
-            self._sweeping = True
-            self._loop.call_after(self._keep(), self._sweep)
+        if not self._expiry_scheduled:
+            self._expiry_scheduled = True
+            self._loop.call_after(self._max_idle(), self._close_expired)
 
-    def _drop(self, caller: Caller, reason: CloseReason) -> None:
+    def _close(self, caller: Caller, reason: CloseReason) -> None:
         log.logger().debug("worker_connection_closed", address=str(caller.address), why=reason.value)
         caller.close()
         self._idle.pop(caller, None)
         self._open.discard(caller)
 
-    def _keep(self) -> timedelta:
+    def _max_idle(self) -> timedelta:
         return max(self._site.idle_close - IDLE_MARGIN, self._site.idle_close / 2)
 
-    def _sweep(self) -> None:
-        """Closes what would soon be closed by its worker; comes again when the next one is due."""
+    def _close_expired(self) -> None:
+        """Close connections that their worker would close soon; reschedule for the next one."""
         now = self._loop.clock.now()
         while self._idle:
             caller, since = next(iter(self._idle.items()))
-            if not caller.closed and now < since + self._keep():
-                self._loop.call_at(since + self._keep(), self._sweep)
+            if not caller.closed and now < since + self._max_idle():
+                self._loop.call_at(since + self._max_idle(), self._close_expired)
                 return
-            self._drop(caller, CloseReason.IDLE_TOO_LONG)
-        self._sweeping = False
+            self._close(caller, CloseReason.IDLE_TOO_LONG)
+        self._expiry_scheduled = False
 
 
 class _AttemptCall:
-    """The POST of an attempt: until its 202 the connection speaks for it, then call-backs do."""
+    """The POST of an attempt, whose end follows from the connection until the 202, then from callbacks."""
 
     def __init__(self, worker_client: WorkerClient, caller: Caller, attempt: Attempt) -> None:
         self._worker_client = worker_client
@@ -300,24 +300,24 @@
         self._attempt = attempt
 
     def request(self) -> bytes | None:
-        data = self._worker_client.request_of(self._attempt)
+        data = self._worker_client.encode_attempt(self._attempt)
         if data is None:
-            self._worker_client.unused(self.caller)
+            self._worker_client.free_later(self.caller)
         return data
 
     def written(self) -> None:
         self._worker_client.arrived(self._attempt)
 
     def answered(self, answer: Answer) -> None:
-        self._worker_client.over(self._attempt)
+        self._worker_client.call_ended(self._attempt)
         self._worker_client.free(self.caller)
         if answer.status == HTTPStatus.ACCEPTED:
             token = self._attempt.token
             if token and answer.headers.get(b"lease-token") == b"%d" % token:
-                self._worker_client.takes_part(self._attempt)
+                self._worker_client.lease_accepted(self._attempt)
             return
-        if answer.status in UNUSABLE:
-            self._worker_client.unusable(self._attempt, f"status {answer.status}")
+        if answer.status in REJECTED_STATUSES:
+            self._worker_client.reject(self._attempt, f"status {answer.status}")
             return
         declined = answer.headers.get(b"srv-declined") == b"1"
         unstarted = declined and answer.status in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
@@ -325,24 +325,24 @@
         self._worker_client.ended(self._attempt, result, answer, f"status {answer.status}")
 
     def broken(self, written: bool, why: str) -> None:
-        """Before its last byte was written an attempt cannot have run; afterwards nobody knows.
+        """End the attempt, which cannot have run if its last byte was not written and may have run otherwise.
 
-        A worker that was never tried, as this machine was short of something, is not to blame.
+        A local resource shortage counts as NOT_SENT, since the worker was never contacted.
         """
-        self._worker_client.over(self._attempt)
+        self._worker_client.call_ended(self._attempt)
         self._worker_client.free(self.caller)
-        unsent = Result.NOT_SENT if self.caller.short else Result.CONNECT_FAILED
-        self._worker_client.ended(self._attempt, Result.RESET if written else unsent, None, why)
+        unsent_result = Result.NOT_SENT if self.caller.local_shortage else Result.CONNECT_FAILED
+        self._worker_client.ended(self._attempt, Result.RESET if written else unsent_result, None, why)
 
-    def cut(self) -> None:
+    def time_out(self) -> None:
         if self.caller.call is self:
             self.caller.close()
-            self._worker_client.over(self._attempt)
+            self._worker_client.call_ended(self._attempt)
             self._worker_client.free(self.caller)
 
 
 class _Withdrawal:
-    """A DELETE; what the worker answers does not matter, but that it has got there does."""
+    """The DELETE of an attempt; the answer does not matter, only that the DELETE has reached the worker."""
 
     def __init__(
         self,
@@ -351,46 +351,46 @@
         caller: Caller,
         attempt: Attempt,
         gone: Callable[[], None],
-        again: timedelta,
-        arrives_within: timedelta,
+        delay: timedelta,
+        transit_time: timedelta,
     ) -> None:
         self._loop = loop
         self._worker_client = worker_client
         self._caller = caller
         self._attempt = attempt
         self._gone = gone
-        self._again = again
-        self._arrives_within = arrives_within
-        self._over = False
+        self._delay = delay
+        self._transit_time = transit_time
+        self._done = False
 
     def request(self) -> bytes:
         path = f"/jobs/{self._attempt.tracked.job.id}".encode()
         return call_bytes("DELETE", path, str(self._attempt.target.address))
 
     def written(self) -> None:
-        """On its way, on a connection of its own: it must not be overtaken by an attempt elsewhere."""
-        self._loop.call_after(self._arrives_within, lambda: self._arrived("written"))
+        """Give the DELETE, on its own connection, time to arrive: no attempt elsewhere may overtake it."""
+        self._loop.call_after(self._transit_time, lambda: self._confirm("written"))
 
     def answered(self, answer: Answer) -> None:
-        self._arrived(f"answered {answer.status}")
+        self._confirm(f"answered {answer.status}")
         self._worker_client.free(self._caller)
 
     def broken(self, written: bool, why: str) -> None:
-        if not self._over and (self._caller.reset or not written):
-            self._over = True
-            self._worker_client.not_withdrawn(self._attempt, self._gone, self._again, why)
+        if not self._done and (self._caller.reset or not written):
+            self._done = True
+            self._worker_client.retry_delete(self._attempt, self._gone, self._delay, why)
         else:
-            self._arrived(why)
+            self._confirm(why)
         self._worker_client.free(self._caller)
 
-    def cut(self) -> None:
-        """Guards against a worker that answers nothing: its connection would be held for good."""
+    def time_out(self) -> None:
+        """Close the connection of a worker that does not answer, which would be held forever otherwise."""
         if self._caller.call is self:
             self._caller.close()
-            self.broken(self._over, "no answer in time")
+            self.broken(self._done, "no answer in time")
 
-    def _arrived(self, how: str) -> None:
-        if not self._over:
-            self._over = True
-            self._worker_client.withdrawn(self._attempt, how)
+    def _confirm(self, how: str) -> None:
+        if not self._done:
+            self._done = True
+            self._worker_client.log_withdrawn(self._attempt, how)
             self._gone()
