--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,6 +1,6 @@
-"""A client that has closed its connection has gone: no attempt begins after that, first or further.
+"""After a client has closed its connection, no attempt of its request begins, neither a first nor a retry.
 
-Each order of events is forced: by what waits unread before a turn, or by a hook at a socket call.
+The order of events is forced by unread data that waits before a turn, or by a hook at a socket call.
 """
 
 import socket
@@ -12,8 +12,8 @@
 from world import Listener, altered, job, member
 
 
-def test_a_request_whose_client_has_left_before_it_was_read_is_not_sent(serve, dial, worker):
-    """Its end waits behind it in the same socket, and was seen only in the turn after the send."""
+def test_client_left_before_read_not_sent(serve, dial, worker):
+    """The close waits behind the request in the same socket; it was seen only in the turn after the send."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
@@ -23,8 +23,8 @@
     assert program.tracker.tracked_requests == {} and program.dispatcher.jobs == {}
 
 
-def test_one_that_leaves_between_the_decision_and_the_connect_is_not_sent(serve, dial, worker):
-    """The turn is a long one: whoever was there when it began may have left when it decides."""
+def test_client_left_before_connect_not_sent(serve, dial, worker):
+    """In a long turn, a client that was connected when it began may have left when the dispatcher decides."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
@@ -42,8 +42,8 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_one_that_leaves_while_its_worker_is_connected_to_is_not_sent(serve, dial, worker, cancel):
-    """Where the settings allow no withdrawals, the attempt went out as soon as its connection was up."""
+def test_client_left_during_connect_not_sent(serve, dial, worker, cancel):
+    """Where settings allow no withdrawals, the attempt was sent as soon as its connection was up."""
     program = serve(settings=altered(cancel=cancel))
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
@@ -53,50 +53,50 @@
     assert program.counters.attempts_written == 0 and program.worker_client._calls == {}
 
 
-def test_an_attempt_that_waits_for_its_connection_ends_with_its_client(serve, dial):
+def test_waiting_attempt_ends_with_its_client(serve, dial):
     program = serve(settings=altered(cancel=False))
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-        fillers = [socket.socket() for _ in range(4)]
-        for filler in fillers:  # from then on nobody's connection comes up there
-            filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        lists(program, member("s-0", full.getsockname()[1]))
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
+        fill_sockets = [socket.socket() for _ in range(4)]
+        for fill_socket in fill_sockets:  # a full backlog: no further connection comes up
+            fill_socket.setblocking(False)
+            fill_socket.connect_ex(listener.getsockname())
+        lists(program, member("s-0", listener.getsockname()[1]))
         client = dial(program).send(job("a1"))
         turns(program, lambda: program.worker_client._calls)
         client.close()
         turns(program, lambda: program.counters.client_gone)
         assert program.worker_client._calls == {} and program.counters.attempt_not_sent == 1
-        for filler in fillers:
-            filler.close()
+        for fill_socket in fill_sockets:
+            fill_socket.close()
 
 
-def test_one_that_leaves_while_it_is_queued_is_not_sent_when_a_slot_frees_up(serve, dial, worker):
-    """It leaves after its end could be seen in this turn, and before the decision that would send it."""
+def test_client_left_while_queued_not_sent(serve, dial, worker):
+    """The client leaves too late for its close to be seen in this turn, but before the decision to send."""
     program = serve(settings={**altered(), "load_info": {"how": "off", "fields": []}})
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1", kind="charge"))
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
-    for held in program.dispatcher.fleet.workers.values():
-        held.cap = 0.5  # busy with that one
+    for known in program.dispatcher.fleet.workers.values():
+        known.cap = 0.5  # no free capacity
     queued = dial(program).send(job("b1", kind="charge"))
     turns(program, lambda: program.counters.taken == 2)
     assert program.counters.attempts == 1
     end = program.tracker.end
 
-    def ended(attempt, *more, **named):
-        end(attempt, *more, **named)
+    def end_and_leave(attempt, *args, **kwargs):
+        end(attempt, *args, **kwargs)
         queued.close()
 
-    program.tracker.end = ended
+    program.tracker.end = end_and_leave
     dial(program).send(call_back("s-0", "a1"))
     turns(program, lambda: program.counters.client_gone)
     turns(program, lambda: not program.tracker.events)
     assert first.status() == 200 and program.counters.attempts == 1
 
 
-def test_one_that_leaves_between_two_attempts_is_not_sent_again(serve, dial, worker):
+def test_client_left_between_attempts_not_retried(serve, dial, worker):
     program = serve(workers=2)
     second = Listener()
     lists(program, member("s-0", worker.port), member("s-1", second.port))
@@ -107,11 +107,11 @@
     reading(peer, program)
     end = program.tracker.end
 
-    def ended(attempt, *more, **named):
+    def end_and_leave(attempt, *args, **kwargs):
         client.close()
-        end(attempt, *more, **named)
+        end(attempt, *args, **kwargs)
 
-    program.tracker.end = ended
+    program.tracker.end = end_and_leave
     peer.answer(503, Srv_Declined=1)
     turns(program, lambda: program.counters.client_gone)
     turns(program, lambda: not program.tracker.events)
@@ -119,8 +119,8 @@
     second.close()
 
 
-def test_what_a_client_sent_before_it_left_on_a_kept_connection_is_not_sent_on(serve, dial, worker):
-    """Two requests and the end, all at once: neither has anybody who waits for it."""
+def test_requests_followed_by_close_not_sent(serve, dial, worker):
+    """Two requests and the close arrive at once: no client waits for either."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(UP)
@@ -133,52 +133,52 @@
     assert program.counters.attempts == 0
 
 
-# ---- the deadline that a worker is told ---------------------------------------------------------
+# ---- the deadline sent to a worker --------------------------------------------------------------
 
 
-def told(request):
-    """The time that a worker was told, as a span."""
+def time_left(request):
+    """The time left that a worker was sent, as a timedelta."""
     value = request[1]["req-deadline"]
     assert value.endswith("m")
     return timedelta(milliseconds=int(value[:-1]))
 
 
-def test_a_worker_is_told_what_is_left_when_the_request_goes_out(serve, dial, worker):
-    """It was told what was left when its connection was begun, which came up 0.2 s later."""
+def test_deadline_header_computed_when_written(serve, dial, worker):
+    """The time left was computed when the connect began, 0.2 s before the connection came up."""
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=200)))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = taken(worker, program)
-    since = program.tracker.by_id["a1"].give_up
-    assert told(reading(peer, program)) <= since - program.loop.clock.now() + timedelta(milliseconds=150)
-    assert told_within(since, program)
+    due = program.tracker.by_id["a1"].give_up
+    assert time_left(reading(peer, program)) <= due - program.loop.clock.now() + timedelta(milliseconds=150)
+    assert answer_time_kept(due, program)
     client.close()
 
 
-def told_within(give_up, program):
-    """The give-up itself was not moved by the late connection."""
+def answer_time_kept(give_up, program):
+    """Whether the late connection has not moved the deadline of the answer."""
     return give_up - program.loop.clock.now() <= timedelta(milliseconds=2800)
 
 
-def test_a_further_attempt_tells_what_is_left_then(serve, dial, worker):
+def test_retry_deadline_header_is_recomputed(serve, dial, worker):
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = taken(worker, program)
-    first = told(reading(peer, program))
+    first = time_left(reading(peer, program))
     let_pass(program, timedelta(milliseconds=700))
     peer.answer(503, Srv_Declined=1)
     turns(program, lambda: program.counters.attempt_full)
-    let_pass(program, timedelta(milliseconds=300))  # its worker is left alone for a moment
-    again = told(reading(peer, program))
-    assert again <= first - timedelta(milliseconds=1000)
+    let_pass(program, timedelta(milliseconds=300))  # the worker is avoided for a moment
+    retried = time_left(reading(peer, program))
+    assert retried <= first - timedelta(milliseconds=1000)
     client.close()
 
 
-def test_a_repeat_that_would_begin_after_its_window_is_not_sent(serve, dial, worker):
-    """Its connection came up when the workers no longer drop what they have run before."""
+def test_retry_after_its_window_not_sent(serve, dial, worker):
+    """The connection came up after the window in which workers drop jobs that they have already run."""
     services = [
         {**spec, "window": 1_000_000} if spec["effect"] == "idempotency_key" else spec
         for spec in altered()["services"]
@@ -186,7 +186,7 @@
     program = serve(settings={**altered(dial_timeout=900_000), "services": services})
     lists(program, member("s-0", worker.port), member("s-1", worker.port))
     program.watch.stop()
-    program.tracker.watch = lambda: None  # the connect that takes long must not be discovery's
+    program.tracker.watch = lambda: None  # the slow connect must not be that of discovery
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="reindex", deadline="9000m", Idempotency_Key="k"))
     peer = taken(worker, program)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -1,4 +1,4 @@
-"""How connections end: every request that was read has its final answer, whatever comes in between."""
+"""The end of connections: every request that was read gets its final answer, whatever happens meanwhile."""
 
 import signal
 import socket
@@ -9,11 +9,11 @@
 from in_process import UP, call_back, drained, lists, readable, reading, taken, turns
 from world import SETTINGS, job, member
 
-MANY = {**SETTINGS, "instances": 5}
+FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
 
 
-def over(program, answers=()):
-    """Turns up to the end of the program; time passes where nothing else happens."""
+def ended(program, answers=()):
+    """Run turns until the program has ended, letting time pass; return whether it has."""
     for _ in range(400):
         program.loop.turn(idle=False)
         program.tracker.decide()
@@ -23,34 +23,34 @@
     return False
 
 
-# ---- told to end --------------------------------------------------------------------------------
+# ---- drain --------------------------------------------------------------------------------------
 
 
 def test_sigterm_between_accept_and_first_byte(serve, dial):
-    """The connection had been taken in: closed unread, its request was turned away on a new connection."""
-    program = serve(settings=MANY)
+    """The accepted connection was closed unread, and its request was rejected on a new connection."""
+    program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     client = dial(program)
     turns(program, lambda: program.frontend.slots.fresh)
     for _ in range(5):
-        let_pass(program, timedelta(milliseconds=40))  # less than anybody needs to connect, in all
+        let_pass(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
         program.loop.turn(idle=False)
         assert not program._over
     client.send(UP)
     assert reading(client, program)[0].endswith("503 Service Unavailable")
-    assert client.ended() and over(program)
+    assert client.ended() and ended(program)
 
 
-def test_one_that_says_nothing_in_a_drain_does_not_keep_the_program_from_its_end(serve, dial):
-    program = serve(settings=MANY)
+def test_silent_connection_does_not_delay_drain(serve, dial):
+    program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     silent = dial(program)
     turns(program, lambda: program.frontend.slots.fresh)
-    assert over(program) and silent.ended()
+    assert ended(program) and silent.ended()
 
 
-def test_sigterm_in_a_half_read_request(serve, dial, worker):
-    program = serve(settings=MANY)
+def test_sigterm_during_partial_request(serve, dial, worker):
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     text = job("a1")
     client = dial(program).send(text[:70])
@@ -65,22 +65,22 @@
     dial(program).send(call_back("s-0", "a1", result="r"))
     first, headers, body = reading(client, program)
     assert (first, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"r")
-    assert client.ended() and over(program)
+    assert client.ended() and ended(program)
 
 
-def test_sigterm_between_parsing_and_the_decision(serve, dial, worker):
-    """Both in one turn: the request was read, and owed its answer, before the program was told to end."""
-    program = serve(settings=MANY)
+def test_sigterm_between_parsing_and_decision(serve, dial, worker):
+    """Both in one turn: the request was read before the signal, so it has to be answered."""
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     take = program.tracker.take
 
-    def told_then(*given):
+    def take_then_signal(*given):
         tracked = take(*given)
         program._signalled(bytes((signal.SIGTERM,)))
         return tracked
 
-    program.tracker.take = told_then
+    program.tracker.take = take_then_signal
     turns(program, lambda: program.counters.taken)
     peer = taken(worker, program)
     reading(peer, program)
@@ -90,8 +90,8 @@
     assert reading(client, program)[2] == b"r"
 
 
-def test_sigterm_between_the_decision_and_the_connect(serve, dial, worker):
-    program = serve(settings=MANY)
+def test_sigterm_between_decision_and_connect(serve, dial, worker):
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
@@ -103,9 +103,9 @@
     assert reading(client, program)[2] == b"r" and not program._over
 
 
-def test_sigterm_between_an_answer_and_its_flush(serve, dial):
-    """The answer does not fit the buffers: it goes out whole before the program ends."""
-    program = serve(settings=MANY)
+def test_sigterm_between_answer_and_flush(serve, dial):
+    """The answer does not fit the socket buffers; it is sent completely before the program ends."""
+    program = serve(settings=FIVE_SCHEDULERS)
     sockets = faulty(program)
     client = dial(program)
     turns(program, lambda: program.frontend.slots.fresh)
@@ -121,18 +121,18 @@
     read = b""
     while not read.endswith(b"x" * 10) or len(read) < 300_000:
         turns(program, lambda: readable(client.sock))
-        part = client.sock.recv(4096)
-        assert part, f"cut off after {len(read)} bytes"
-        read += part
-        let_pass(program, timedelta(milliseconds=50))  # four seconds in all, so that it is told to end
+        chunk = client.sock.recv(4096)
+        assert chunk, f"cut off after {len(read)} bytes"
+        read += chunk
+        let_pass(program, timedelta(milliseconds=50))  # four seconds in all, past the end of the drain
     assert not program._over
     client.close()
-    assert over(program)
+    assert ended(program)
 
 
-def test_requests_sent_ahead_are_all_answered_before_a_drain_closes_their_connection(serve, dial, worker):
-    """The first answer ended the connection, and the requests that had been read behind it with it."""
-    program = serve(settings=MANY)
+def test_pipelined_requests_answered_before_drain_close(serve, dial, worker):
+    """The first answer closed the connection, and the pipelined requests read behind it got no answer."""
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1") + job("a2") + UP)
     peer = taken(worker, program)
@@ -150,9 +150,9 @@
     assert first.endswith("503 Service Unavailable") and headers["connection"] == "close"
 
 
-def test_a_request_that_meets_the_close_of_a_resting_connection_is_not_sent_on(serve, dial, worker):
-    """It is not read: its client sees the end and sends it again elsewhere, so it must not run here."""
-    program = serve(settings=MANY)
+def test_request_meeting_idle_close_not_sent(serve, dial, worker):
+    """It is not read: its client sees the close and sends it again elsewhere, so it must not run here."""
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(UP)
     assert reading(client, program)[0].endswith("200 OK")
@@ -166,12 +166,12 @@
         program.tracker.decide()
     assert program.counters.taken == program.counters.attempts == 0
     client.close()
-    assert over(program)
+    assert ended(program)
 
 
-def test_an_answer_is_not_lost_to_what_comes_in_behind_its_request(serve, dial):
-    """Closed with input unread, the connection would be reset, and take the answer with it."""
-    program = serve(settings=MANY)
+def test_answer_survives_trailing_input(serve, dial):
+    """A close with unread input resets the connection, which would lose the answer."""
+    program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     client = dial(program).send(UP)
     sockets = faulty(program)
@@ -182,14 +182,14 @@
     assert reading(client, program)[0].endswith("503 Service Unavailable") and client.ended()
 
 
-def test_a_connection_in_the_backlog_is_served_before_the_program_ends(serve, dial, monkeypatch):
-    """With its last byte in the backlog the request was taken; the end of the listener was its reset."""
-    program = serve(settings=MANY)
+def test_backlog_connection_served_before_exit(serve, dial, monkeypatch):
+    """The kernel had the whole request in the backlog; closing the listener reset its connection."""
+    program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     while program._quiet_since is None:
         program.loop.turn(idle=False)
         let_pass(program, timedelta(milliseconds=10))
-    program.frontend._listener._loop.forget(program.frontend._listener._sock)  # the selector is late to tell
+    program.frontend._listener._loop.forget(program.frontend._listener._sock)  # a late report of the selector
     program.frontend._listener._registered = False
     client = dial(program).send(UP)
     let_pass(program, timedelta(seconds=1))
@@ -197,11 +197,11 @@
     assert not program._over
     program.frontend._listener._update()
     assert reading(client, program)[0].endswith("503 Service Unavailable")
-    assert over(program)
+    assert ended(program)
 
 
-def test_a_second_sigterm_and_a_sighup_before_the_first_change_nothing(serve, dial, worker):
-    program = serve(settings=MANY)
+def test_repeated_signals_change_nothing(serve, dial, worker):
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     peer = taken(worker, program)
@@ -216,11 +216,11 @@
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
     client.close()
-    assert over(program)
+    assert ended(program)
 
 
 def test_sigterm_while_discovery_is_down(serve, dial, worker):
-    program = serve(settings=MANY)
+    program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     turns(program, lambda: program.counters.watch_failures)
     client = dial(program).send(job("a1"))
@@ -230,15 +230,17 @@
     drained(program)
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
-    assert over(program)
+    assert ended(program)
 
 
 # ---- workers ------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("stray", [b"HTTP/1.1 503 Servi", b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n"])
-def test_a_worker_s_connection_on_which_something_came_unasked_is_not_used_again(serve, dial, worker, stray):
-    """Half a line from a worker was read together with the next call's answer."""
+@pytest.mark.parametrize(
+    "unsolicited", [b"HTTP/1.1 503 Servi", b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n"]
+)
+def test_worker_connection_with_unsolicited_data_not_reused(serve, dial, worker, unsolicited):
+    """Half a line from a worker was parsed as part of the next call's answer."""
     program = serve()
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1"))
@@ -248,20 +250,20 @@
     dial(program).send(call_back("s-0", "a1", result="r1"))
     assert reading(first, program)[2] == b"r1"
     turns(program, lambda: program.worker_client._idle)
-    peer.send(stray)
+    peer.send(unsolicited)
     turns(program, lambda: not any(caller.usable() for caller in program.worker_client._idle))
     for _ in range(3):
         program.loop.turn(idle=False)
     second = dial(program).send(job("a2"))
-    again = taken(worker, program)
-    assert reading(again, program)[1]["req-id"] == "a2"
-    again.answer(503, Srv_Declined=1)
+    next_peer = taken(worker, program)
+    assert reading(next_peer, program)[1]["req-id"] == "a2"
+    next_peer.answer(503, Srv_Declined=1)
     turns(program, lambda: program.counters.attempt_full)
     second.close()
 
 
-def test_a_202_that_ends_with_its_connection_is_a_202(serve, dial, worker):
-    """Without a length the end of the connection is the end of the answer; it counted as a reset."""
+def test_202_ended_by_close_is_accepted(serve, dial, worker):
+    """An answer without a length ends with its connection; it was counted as a reset."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
@@ -274,7 +276,7 @@
     assert reading(client, program)[2] == b"r"
 
 
-def test_an_answer_that_breaks_off_is_a_reset(serve, dial, worker):
+def test_truncated_answer_is_a_reset(serve, dial, worker):
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
@@ -285,18 +287,18 @@
     assert client.status() == 502 and program.counters.attempt_reset == program.counters.attempts == 1
 
 
-def test_a_sigterm_that_was_heard_late_counts_from_when_it_may_have_come(serve):
-    """SIGKILL follows the signal, not the turn that read it: what came late was found unanswered by it."""
-    program = serve(settings=MANY)
-    program.loop.since = told = program.loop.now - timedelta(milliseconds=400)
+def test_late_sigterm_counts_from_earliest_arrival(serve):
+    """SIGKILL is timed from the signal, not from the turn that read it: late requests went unanswered."""
+    program = serve(settings=FIVE_SCHEDULERS)
+    program.loop.since = signalled = program.loop.now - timedelta(milliseconds=400)
     program._signalled(bytes((signal.SIGTERM,)))
     drain = program.frontend.draining
-    assert drain.arriving_until < told + timedelta(milliseconds=700)
-    assert drain.answered_by < told + timedelta(milliseconds=3700)
+    assert drain.arriving_until < signalled + timedelta(milliseconds=700)
+    assert drain.answered_by < signalled + timedelta(milliseconds=3700)
 
 
-def test_no_connection_holds_small_writes_back(serve, dial, worker):
-    """What the system held back would go with a connection that is reset."""
+def test_connections_disable_nagle(serve, dial, worker):
+    """Data that the kernel delays is lost if the connection is reset."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The rules that the program checks by itself: a violation is found, counted and, if it can be, prevented."""
+"""Invariants that the program checks itself: a violation is detected, counted and prevented if possible."""
 
 import errno
 from datetime import timedelta
@@ -17,15 +17,15 @@
 from carthinge.net.worker_directory import WorkerEndpoint
 
 NOW = timedelta(days=1)
-OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
+OWED_WITHIN = timedelta(seconds=3)  # required by the standing test, not taken from the program
 
 
-def attempts(effect, *results, arrived=True, workers=None):
-    """Attempts of one request that have ended so (None: is out), and one more that is to go out."""
+def next_attempt(effect, *results, arrived=True, workers=None):
+    """Return an unsent attempt of a request whose earlier attempts have these results (None: open)."""
     tracked = TrackedRequest(1, Job("a1", b"/api", b""), "c", "t", None, NOW, effect=effect)
     for number, result in enumerate([*results, None]):
-        name = (workers or range(9))[number]
-        target = WorkerEndpoint(f"s-{name}", name, None)
+        worker_number = (workers or range(9))[number]
+        target = WorkerEndpoint(f"s-{worker_number}", worker_number, None)
         tracked.attempts.append(
             Attempt(tracked, number, target, NOW, NOW, open=result is None, arrived=arrived, result=result)
         )
@@ -36,23 +36,23 @@
 @pytest.mark.parametrize("may_copy", [False, True])
 @pytest.mark.parametrize("arrived", [False, True])
 @pytest.mark.parametrize("result", [None, *io.Result])
-def test_an_attempt_goes_out_only_where_the_one_before_permits_it(effect, may_copy, arrived, result):
+def test_may_send_depends_on_previous_attempt(effect, may_copy, arrived, result):
     counters = Counters()
-    allowed = Invariants(counters, lambda: may_copy).may_send(attempts(effect, result, arrived=arrived))
+    permitted = Invariants(counters, lambda: may_copy).may_send(next_attempt(effect, result, arrived=arrived))
     if result is None:
-        wanted = may_copy and effect is not io.Effect.UNSAFE
+        expected = may_copy and effect is not io.Effect.UNSAFE
     else:
-        wanted = effect is not io.Effect.UNSAFE or not arrived or result in io.NEVER_RAN
-    assert allowed is wanted and counters.invariants_violated == (not wanted)
+        expected = effect is not io.Effect.UNSAFE or not arrived or result in io.NEVER_RAN
+    assert permitted is expected and counters.invariants_violated == (not expected)
 
 
-def test_no_worker_gets_a_second_attempt_beside_its_first(request):
+def test_worker_never_has_two_open_attempts(request):
     invariants = Invariants(Counters(), lambda: True)
-    assert not invariants.may_send(attempts(io.Effect.SAFE, None, workers=[4, 4]))
-    assert invariants.may_send(attempts(io.Effect.SAFE, io.Result.TIMEOUT, workers=[4, 4]))
+    assert not invariants.may_send(next_attempt(io.Effect.SAFE, None, workers=[4, 4]))
+    assert invariants.may_send(next_attempt(io.Effect.SAFE, io.Result.TIMEOUT, workers=[4, 4]))
 
 
-def test_half_requests_are_held_to_what_is_owed_and_a_connection_that_waited_to_its_last_chance():
+def test_partial_request_limits_with_late_accept():
     counters = Counters()
     invariants = Invariants(counters, lambda: True)
     invariants.half_request_ended(1, NOW, NOW, NOW + OWED_WITHIN)
@@ -62,8 +62,8 @@
     assert counters.invariants_violated == 1
 
 
-def test_the_module_s_wrong_word_sends_no_second_attempt(serve, dial, worker):
-    """The guard stands behind the decisions: one that is wrong is counted and not carried out."""
+def test_wrong_decision_sends_no_second_attempt(serve, dial, worker):
+    """A wrong decision of the dispatcher is counted as a violation and not carried out."""
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
@@ -77,27 +77,27 @@
     assert reading(client, program)[2] == b"r"
 
 
-def test_a_close_over_a_request_that_was_read_is_counted(serve, dial, worker):
+def test_close_with_unanswered_request_is_counted(serve, dial, worker):
     program = serve()
     lists(program, member("s-0", worker.port))
     dial(program).send(job("a1"))
     peer = taken(worker, program)
     reading(peer, program)
-    rested = dial(program).send(UP)
-    reading(rested, program)
+    idle = dial(program).send(UP)
+    reading(idle, program)
     for connection in program.frontend.slots.all():
         connection.close(CloseReason.SLOT_NEEDED)
     assert program.counters.invariants_violated == 1
 
 
-def test_a_scheduler_begins_to_serve_once(serve):
+def test_scheduler_starts_serving_once(serve):
     program = serve()
     listener = program.frontend._listener
     program._listen(False)
     assert program.counters.invariants_violated == 1 and program.frontend._listener is listener
 
 
-def test_nothing_is_violated_where_calls_fail_and_a_worker_resets(serve, dial, worker):
+def test_no_violation_on_failed_connects_and_resets(serve, dial, worker):
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
@@ -106,8 +106,8 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(503, Srv_Declined=1)
-    again = reading(peer, program)
-    assert again[1]["req-id"] == "a1"
+    retried = reading(peer, program)
+    assert retried[1]["req-id"] == "a1"
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
