--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -25,7 +25,7 @@
     ONE_ATTEMPT = "no attempt is sent while another one is open"
     NO_UNSAFE_RETRY = "an unsafe job that may have run is not sent again"
     ANSWER_BEFORE_CLOSE = "a complete request is answered before its connection is closed"
-    HALF_REQUEST = "an incomplete request is ended by an error or a close in time"
+    PARTIAL_REQUEST = "an incomplete request is ended by an error or a close in time"
     ONE_START = "a scheduler starts serving once"
 
 
@@ -74,7 +74,7 @@
         """
         if now > max(last_activity + OWED_WITHIN, accepted + 2 * LAST_CHANCE):
             elapsed = now - last_activity
-            self._violated(Rule.HALF_REQUEST, connection=connection, after=elapsed.total_seconds())
+            self._violated(Rule.PARTIAL_REQUEST, connection=connection, after=elapsed.total_seconds())
 
     def start(self) -> bool:
         """Whether the program may start to serve; False from the second call on."""
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -94,7 +94,7 @@
             tracked.attempts.append(attempt)
             if attempt.open:
                 attempt.timer = self._loop.call_at(attempt.due, partial(self._time_out, attempt))
-        tracked.attempt_changed()
+        tracked.update_state()
         return tracked
 
     def _track(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None) -> TrackedRequest:
@@ -149,7 +149,7 @@
         for attempt in tracked.attempts:
             if attempt.open:
                 attempt.timer = self._loop.call_at(attempt.due, partial(self._time_out, attempt))
-        tracked.attempt_changed()
+        tracked.update_state()
 
     def abandon(self, tracked: TrackedRequest) -> None:
         """Abandon a request whose client has left."""
@@ -222,7 +222,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         tracked = attempt.tracked
-        tracked.attempt_changed()
+        tracked.update_state()
         if tracked.keeper is not None:
             tracked.keeper.attempt_ended(attempt, result)
         name = f"attempt_{result.name.lower()}"
@@ -280,7 +280,7 @@
         start_by = action.start_by * MICROSECOND if action.start_by else None
         attempt = Attempt(tracked, len(tracked.attempts), self._targets[action.worker], now, due, start_by)
         tracked.attempts.append(attempt)
-        tracked.attempt_changed()
+        tracked.update_state()
         if self._end_if_unsendable(attempt):
             return
         attempt.timer = self._loop.call_at(due, lambda: self._time_out(attempt))
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -145,7 +145,7 @@
         """Whether its client still has to get a final answer."""
         return self.state in (RequestState.QUEUED, RequestState.SENT)
 
-    def attempt_changed(self) -> None:
+    def update_state(self) -> None:
         """Update the state; to be called when an attempt has been added or has ended."""
         if self.owed:
             self.state = RequestState.QUEUED if self.current() is None else RequestState.SENT
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -38,13 +38,13 @@
     """The pool of connections to workers, and the calls in progress on them."""
 
     def __init__(
-        self, loop: Loop, site: Site, tracker: RequestTracker, counters: Counters, most: int
+        self, loop: Loop, site: Site, tracker: RequestTracker, counters: Counters, max_connections: int
     ) -> None:
         self._loop = loop
         self._site = site
         self._tracker = tracker
         self._counters = counters
-        self.most = most
+        self.most = max_connections
         self.lease = timedelta()  # duration of a lease, where attempts have one
         self._open: set[Caller] = set()
         self._idle: OrderedDict[Caller, timedelta] = OrderedDict()  # idle since, oldest first
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -1,4 +1,4 @@
-"""The real program as a process: what clients and workers see of it."""
+"""The real program as a process: requests of clients and callbacks of workers."""
 
 import json
 import signal
@@ -7,7 +7,7 @@
 from world import World, job, serve_next
 
 
-def test_a_job_goes_to_a_worker_unchanged_and_its_result_comes_back(world):
+def test_job_and_result_passed_on_unchanged(world):
     client = world.submit("a1", path="/api/7f3a9c21e0b4d655?x=1", body=b"work", Idempotency_Key="k1")
     number, peer, (line, headers, body) = world.take()
     assert line == "POST /api/7f3a9c21e0b4d655?x=1 HTTP/1.1" and body == b"work"
@@ -20,19 +20,19 @@
     assert first == "HTTP/1.1 200 OK" and result.decode() == "found \u00e9"
 
 
-def test_a_job_without_a_key_has_no_further_part_in_its_path(world):
+def test_path_without_query_passed_on_unchanged(world):
     world.submit("a1", path="/api")
     assert world.take()[2][0] == "POST /api HTTP/1.1"
 
 
-def test_a_request_may_come_byte_by_byte(world):
+def test_request_sent_byte_by_byte(world):
     client = world.connect()
     for byte in job("a1", body=b"split"):
         client.send(bytes((byte,)))
     assert world.take()[2][2] == b"split"
 
 
-def test_a_worker_s_answers_and_call_backs_may_come_byte_by_byte(world):
+def test_worker_answer_and_callback_byte_by_byte(world):
     client = world.submit("a1")
     number, peer, _ = world.take()
     body = json.dumps({"id": "a1", "from": world.names[number], "state": "done", "result": "r"}).encode()
@@ -43,11 +43,11 @@
             to.send(bytes((byte,)))
     assert caller.status() == 204 and client.read()[2] == b"r"
     world.submit("a2")
-    assert world.take()[2][1]["req-id"] == "a2"  # and the connection is in step
+    assert world.take()[2][1]["req-id"] == "a2"  # the connection is still in sync
 
 
-def test_blanks_around_header_values_do_not_belong_to_them(world):
-    """HTTP allows them: a client that writes them was answered 400."""
+def test_whitespace_around_header_values_is_stripped(world):
+    """HTTP allows whitespace around header values; such requests were answered 400."""
     head, body = job("a1").split(b"\r\n\r\n")
     request_line, *fields = head.split(b"\r\n")
     padded = [field.replace(b": ", b":  \t") + b" \t" for field in fields]
@@ -56,13 +56,13 @@
     assert client.status() == 200
 
 
-def test_requests_that_are_sent_ahead_are_answered_in_order(world):
+def test_pipelined_requests_answered_in_order(world):
     client = world.connect().send(job("a1") + b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
     serve_next(world, "a1")
     assert [client.status(), client.status()] == [200, 404]
 
 
-def test_a_client_that_asks_first_is_told_to_go_ahead(world):
+def test_expect_100_continue(world):
     head, body = job("a1", body=b"large", Expect="100-continue").split(b"\r\n\r\n")
     client = world.connect().send(head + b"\r\n\r\n")
     assert client.status() == 100
@@ -71,17 +71,17 @@
     assert client.status() == 200
 
 
-def test_a_body_may_be_64_kib_and_not_more(world):
+def test_body_limit_is_64_kib(world):
     world.submit("a1", body=b"x" * 65536)
     assert len(world.take()[2][2]) == 65536
-    over = world.submit("a2", body=b"x" * 65537)
-    assert over.status() == 413 and over.ended()
+    oversized = world.submit("a2", body=b"x" * 65537)
+    assert oversized.status() == 413 and oversized.ended()
     chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
     head = job("a3").split(b"Content-Length")[0] + b"Transfer-Encoding: chunked\r\n\r\n"
     assert world.connect().send(head + chunk * 3).status() == 413
 
 
-BAD = [
+BAD_INPUT = [
     (b"\x16\x03\x01 not HTTP\r\n\r\n", 400),
     (b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", 404),
     (b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 404),
@@ -101,7 +101,10 @@
     *(
         (job("a1").replace(b"Content-Length: 2", lengths), status)
         for lengths, status in [
-            (b"Content-Length: 5\r\nTransfer-Encoding: chunked", 400),  # one of them hides another request
+            (
+                b"Content-Length: 5\r\nTransfer-Encoding: chunked",
+                400,
+            ),  # ambiguous lengths allow request smuggling
             (b"Transfer-Encoding: chunked\r\nContent-Length: 5", 400),
             (b"Transfer-Encoding: xchunked", 400),
             (b"Transfer-Encoding: chunked, identity", 400),
@@ -120,45 +123,47 @@
 ]
 
 
-def test_bad_input_is_refused_and_harms_nobody_else(world):
+def test_bad_input_is_refused_others_served(world):
     other = world.connect().send(job("good")[:40])
-    assert [world.connect().send(data).status() for data, _ in BAD] == [status for _, status in BAD]
+    assert [world.connect().send(data).status() for data, _ in BAD_INPUT] == [
+        status for _, status in BAD_INPUT
+    ]
     other.send(job("good")[40:])
     serve_next(world, "good")
     assert other.status() == 200
-    counted = world.counters()
-    assert counted["bad_input"] == len(BAD) and counted["taken"] == 1
+    counters = world.counters()
+    assert counters["bad_input"] == len(BAD_INPUT) and counters["taken"] == 1
 
 
-def test_what_cannot_be_read_ends_the_connection_whatever_waits_on_it(world):
+def test_unparsable_input_ends_connection(world):
     client = world.submit("a1")
     _, peer, _ = world.take()
     client.send(job("a2") + b"\x00\x01\r\n\r\n")
     assert [client.status(), client.status()] == [400, 400] and client.ended()
-    assert peer.ended()  # nobody waits for that job any more
+    assert peer.ended()  # its job has no waiting client any more
     assert world.counters()["taken"] == 1
 
 
-def test_more_requests_at_once_than_anybody_should_send_end_the_connection(world):
+def test_too_many_pipelined_requests_end_connection(world):
     client = world.submit("a0").send(b"".join(job(f"a{number}") for number in range(1, 30)))
     assert client.status() == 400 and world.counters()["taken"] <= 1
 
 
-def test_what_follows_a_body_is_no_header(world):
+def test_trailers_are_not_headers(world):
     head = job("a1").split(b"Content-Length")[0] + b"Transfer-Encoding: chunked\r\n\r\n"
     world.connect().send(head + b"0\r\nReq-Id: a2\r\n\r\n")
     assert world.take()[2][1]["req-id"] == "a1"
 
 
-def test_silence_is_given_three_seconds_and_kept_connections_and_slow_writers_more(world):
-    """A first request that is written slowly was cut off, with no answer, in the middle of its bytes."""
+def test_timeouts_of_silent_slow_and_kept_clients(world):
+    """A slowly written first request was cut off in the middle, without an answer."""
     since = time.monotonic()
     kept = world.connect()
     assert kept.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
     silent, slow = world.connect(), world.connect().send(job("a1")[:60])
-    pieces = [job("a1")[at : at + 10] for at in range(60, len(job("a1")), 10)]
+    pieces = [job("a1")[offset : offset + 10] for offset in range(60, len(job("a1")), 10)]
     for piece in pieces[:4]:
-        time.sleep(0.5)  # a slow writer's pause
+        time.sleep(0.5)  # a pause that a slow writer may make
         slow.send(piece)
     assert silent.ended() and 2 < time.monotonic() - since < 3
     assert world.counters()["connections_in_silent"] == 1
@@ -173,7 +178,7 @@
     assert kept.status() == 200
 
 
-def test_silent_connections_by_hundreds_make_room_for_each_other_and_not_for_themselves(tmp_path):
+def test_silent_connections_never_evict_kept_ones(tmp_path):
     with World(tmp_path, sockets=128) as world:  # 48 slots
         kept = world.connect()
         assert kept.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
@@ -182,25 +187,25 @@
         kept.send(job("a1"))
         serve_next(world, "a1")
         assert kept.status() == 200
-        counted = world.counters()
-        assert counted["connections_in_closed_early"] >= 150 and counted["served"] == 1
+        counters = world.counters()
+        assert counters["connections_in_closed_early"] >= 150 and counters["served"] == 1
 
 
-def test_an_id_in_use_is_refused_and_its_owner_still_served(world):
+def test_duplicate_id_refused_first_still_served(world):
     first = world.submit("a1")
     assert world.submit("a1").status() == 400
     serve_next(world, "a1")
     assert first.status() == 200
 
 
-def test_counters_are_printed_on_request(world):
+def test_sigusr1_logs_counters(world):
     world.process.send_signal(signal.SIGUSR1)
     world.wait_for_log("event=counters")
     line = next(line for line in world.log().splitlines() if "event=counters" in line)
     assert all(f"{name}=" in line for name in world.counters())
 
 
-def test_results_may_hold_anything_that_json_can(world):
+def test_result_with_any_json_characters(world):
     client = world.submit("a1")
     number, peer, _ = world.take()
     peer.answer(202)
