--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -81,7 +81,7 @@
     assert world.connect().send(head + chunk * 3).status() == 413
 
 
-MALFORMED = [
+INVALID = [
     (b"\x16\x03\x01 not HTTP\r\n\r\n", 400),
     (b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", 404),
     (b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 404),
@@ -122,14 +122,12 @@
 
 def test_bad_input_is_refused_others_served(world):
     other = world.connect().send(job("good")[:40])
-    assert [world.connect().send(data).status() for data, _ in MALFORMED] == [
-        status for _, status in MALFORMED
-    ]
+    assert [world.connect().send(data).status() for data, _ in INVALID] == [status for _, status in INVALID]
     other.send(job("good")[40:])
     serve_next(world, "good")
     assert other.status() == 200
     counters = world.counters()
-    assert counters["bad_input"] == len(MALFORMED) and counters["taken"] == 1
+    assert counters["bad_input"] == len(INVALID) and counters["taken"] == 1
 
 
 def test_unparsable_input_ends_connection(world):
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -213,9 +213,7 @@
         worker, peer, (line, _, _) = world.take()
         assert (worker, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
         del world.kept[peer.sock]
-        peer.sock.setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
-        )  # close with a reset
+        peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # a reset
         peer.close()
     expect_withdrawal_and_retry(world, client, first)
     assert world.counters()["withdrawn_again"] == 2
