--- a/carthinge/handover_memory.py
+++ b/carthinge/handover_memory.py
@@ -1,4 +1,7 @@
-"""What one dispatcher has learned, as it is told to the one that takes its place."""
+"""The state that a dispatcher hands over to its successor.
+
+The classes are encoded by field name into an upgrade's channel, so these names do not change.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 @dataclass(slots=True)
 class WorkerMemory:
-    """What was learned of one worker; its load is not part of that."""
+    """What was learned of one worker, without its load.  The fields are described in records.py."""
 
     entry: WorkerEntry
     started: int
@@ -33,20 +36,20 @@
 
 @dataclass(slots=True)
 class Memory:
-    """What a dispatcher has learned, for another one on the same clock that takes its place."""
+    """Everything that a dispatcher has learned, for its successor on the same clock."""
 
-    out: list[int]  #: workers out by hand
+    out: list[int]  #: workers excluded by an operator
     workers: list[WorkerMemory]
-    kinds: list[tuple[int, float, float, float]]  #: number, pace, slots and size of each
-    meters: dict[str, float]
-    rates: dict[str, tuple[float, int]]  #: per second, and since when
-    spans: list[int]  #: of each class
-    quotas: list[tuple[float, int]]  #: of each tenant the level, and since when
+    kinds: list[tuple[int, float, float, float]]  #: number, slowdown, slots and size of each
+    meters: dict[str, float]  #: moving averages by name, see memory.py
+    rates: dict[str, tuple[float, int]]  #: rate per second and time of its last update, by name
+    spans: list[int]  #: of each class, the longest time that a client had left on arrival
+    quotas: list[tuple[float, int]]  #: of each tenant the bucket's level and the time of its last update
 
 
 @dataclass(slots=True)
 class AttemptMemory:
-    """One send of a job that is handed over; ``expected`` is 0 where that is not known any more."""
+    """One attempt of a job that is handed over; ``expected`` is 0 if it is no longer known."""
 
     worker: int
     entry: WorkerEntry
@@ -60,7 +63,7 @@
 
 @dataclass(slots=True)
 class JobMemory:
-    """A job that is handed over; its tenant goes by name, outside."""
+    """A job that is handed over; its tenant is sent beside it, by name."""
 
     spec: JobClass
     key: int
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -1,4 +1,8 @@
-"""What a dispatcher has learned, as it is told to the one that takes its place.  No decisions."""
+"""Handover of a dispatcher's state to its successor, and of single jobs.  No scheduling decisions.
+
+Attributes are copied by name between records.py and handover_memory.py; the names of fields, meters and rates
+are part of the format of an upgrade's channel.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 class Tenants(Protocol):
-    """The tenants' classes and quotas, by their positions."""
+    """The tenants' queues and quotas, by position."""
 
     quotas: list[Bucket]
 
@@ -24,13 +28,13 @@
 
 
 class SlowStart(Protocol):
-    """What cold workers may get."""
+    """The slow start of cold workers."""
 
     leaving: bool
 
 
 class ResponseTimeouts(Protocol):
-    """When attempts ought to give a sign."""
+    """Moving averages that response timeouts are derived from."""
 
     patience: float
     run_patience: float
@@ -38,7 +42,7 @@
 
 
 class Decisions(Protocol):
-    """What of a dispatcher is handed over, and what it does with a job that it is handed."""
+    """The parts of a dispatcher that a handover reads and changes."""
 
     context: DispatchContext
     spans: list[int]
@@ -56,22 +60,22 @@
         """The response timeouts of the dispatcher."""
 
     def arrive(self, event: io.Arrival, sent: Sequence[AttemptMemory] = ()) -> None:
-        """Takes a job in, with the attempts that it has had elsewhere."""
+        """Accept a job, with the attempts that were sent by another dispatcher."""
 
     def enqueue(self, job: Job) -> None:
-        """Has it wait for a worker."""
+        """Put it into its tenant's queue."""
 
     def attend(self, attempt: Attempt) -> None:
-        """Looks at it again when it ought to have given a sign."""
+        """Start the response timeout of an attempt."""
 
 
-_LEARNED = tuple(item.name for item in fields(WorkerMemory) if item.name != "entry")
-_OF_JOB = tuple(item.name for item in fields(JobMemory) if item.name != "attempts")
-_OF_ATTEMPT = tuple(item.name for item in fields(AttemptMemory) if item.name != "worker")
+_WORKER_FIELDS = tuple(item.name for item in fields(WorkerMemory) if item.name != "entry")
+_JOB_FIELDS = tuple(item.name for item in fields(JobMemory) if item.name != "attempts")
+_ATTEMPT_FIELDS = tuple(item.name for item in fields(AttemptMemory) if item.name != "worker")
 
 
-def _meters(dispatcher: Decisions) -> dict[str, DispatchContext | ResponseTimeouts]:
-    """The part that keeps it, for each."""
+def _meter_owners(dispatcher: Decisions) -> dict[str, DispatchContext | ResponseTimeouts]:
+    """Return the object that holds each moving average, by the average's name."""
     timeouts = dispatcher.timeouts
     return {
         "mean_work": dispatcher.context,
@@ -90,13 +94,13 @@
 
 
 def memory_of(dispatcher: Decisions) -> Memory:
-    """Everything that ``recall`` takes."""
+    """Return the state that ``restore_memory`` restores."""
     fleet = dispatcher.context.fleet
     return Memory(
         out=sorted(fleet.out),
-        workers=_of_fleet(fleet),
+        workers=_export_workers(fleet),
         kinds=[(number, kind.pace, kind.slots, kind.size) for number, kind in fleet.kinds.items()],
-        meters={name: float(getattr(part, name)) for name, part in _meters(dispatcher).items()},
+        meters={name: float(getattr(part, name)) for name, part in _meter_owners(dispatcher).items()},
         rates={name: (rate.per_s, rate.since) for name, rate in _rates(dispatcher).items()},
         spans=list(dispatcher.spans),
         quotas=[(bucket.level, bucket.since) for bucket in dispatcher.tenants.quotas],
@@ -104,35 +108,35 @@
 
 
 def handlers(dispatcher: Decisions) -> dict[type, Callable[[Any], None]]:
-    """Of the events by which a dispatcher takes over from another, or hears what several know together."""
+    """Return the handlers of handover events and of the fleet's shared view."""
     return {
-        io.Inherit: lambda event: recall(dispatcher, event),
-        io.Leave: lambda event: _leave(dispatcher, event),
+        io.Inherit: lambda event: restore_memory(dispatcher, event),
+        io.Leave: lambda event: _set_leaving(dispatcher, event),
         io.Restore: lambda event: dispatcher.arrive(event.arrival, event.attempts),
         io.TakeOver: lambda event: _take_over(dispatcher, event),
         io.GiveAway: lambda event: _give_away(dispatcher, event),
-        io.FleetView: lambda event: _share(dispatcher, event),
+        io.FleetView: lambda event: _apply_fleet_view(dispatcher, event),
     }
 
 
 def job_memory(dispatcher: Decisions, request: int) -> JobMemory:
-    """Everything that is known of an open job."""
+    """Return the state of an open job."""
     job = dispatcher.context.jobs[request]
     attempts = [
-        AttemptMemory(worker=attempt.worker.id, **{name: getattr(attempt, name) for name in _OF_ATTEMPT})
+        AttemptMemory(worker=attempt.worker.id, **{name: getattr(attempt, name) for name in _ATTEMPT_FIELDS})
         for attempt in job.attempts
     ]
-    return JobMemory(attempts=attempts, **{name: getattr(job, name) for name in _OF_JOB})
+    return JobMemory(attempts=attempts, **{name: getattr(job, name) for name in _JOB_FIELDS})
 
 
-def _leave(dispatcher: Decisions, event: io.Leave) -> None:
+def _set_leaving(dispatcher: Decisions, event: io.Leave) -> None:
     dispatcher.slow_start.leaving = event.leaving
 
 
 def _take_over(dispatcher: Decisions, event: io.TakeOver) -> None:
     known = event.memory
     queue = dispatcher.tenants.queue(event.tenant)
-    job = Job(id=event.request, queue=queue, **{name: getattr(known, name) for name in _OF_JOB})
+    job = Job(id=event.request, queue=queue, **{name: getattr(known, name) for name in _JOB_FIELDS})
     job.waiting = False
     dispatcher.context.jobs[job.id] = job
     attach(dispatcher, job, known.attempts)
@@ -141,13 +145,13 @@
 
 
 def attach(dispatcher: Decisions, job: Job, attempts: Sequence[AttemptMemory]) -> None:
-    """Gives a job the attempts that another dispatcher sent; one that is open is attended to from now on."""
+    """Add the attempts that another dispatcher sent; open ones get a response timeout from now on."""
     for number, sent in enumerate(attempts):
         worker = dispatcher.context.fleet.workers.get(sent.worker)
         if worker is None:  # not listed here yet
             worker = dispatcher.context.fleet.add(sent.entry, max(1.0, job.slots))
         attempt = Attempt(
-            job=job, number=number, worker=worker, **{name: getattr(sent, name) for name in _OF_ATTEMPT}
+            job=job, number=number, worker=worker, **{name: getattr(sent, name) for name in _ATTEMPT_FIELDS}
         )
         attempt.expected = attempt.expected or float(job.spec.objective)
         job.attempts.append(attempt)
@@ -158,14 +162,14 @@
             dispatcher.attend(attempt)
 
 
-def _share(dispatcher: Decisions, event: io.FleetView) -> None:
-    """Workers to leave alone, parts of quotas, levels and attempts: decided on in carthinge/fleet/."""
+def _apply_fleet_view(dispatcher: Decisions, event: io.FleetView) -> None:
+    """Apply exclusions, quota shares, shedding levels and lent retries, as decided in carthinge/fleet/."""
     context, settings = dispatcher.context, dispatcher.context.settings
     for number, until in event.alone:
         if (worker := context.fleet.workers.get(number)) is not None:
             worker.avoid(until)
     for bucket, tenant, part in zip(dispatcher.tenants.quotas, settings.tenants, event.parts, strict=False):
-        bucket.settle(context.now)
+        bucket.refill(context.now)
         bucket.per_s = tenant.quota_per_s / settings.instances * part
     context.agree(event.levels)
     context.budget.pass_on(event.repeats)
@@ -177,47 +181,51 @@
     for attempt in job.attempts:
         if attempt.open:
             dispatcher.context.level.waiting -= not attempt.begun
-            attempt.open = attempt.may_have_run = False  # for this one: no check of it is due any more
+            attempt.open = attempt.may_have_run = False  # here: its pending timers have nothing left to check
             attempt.leave()
 
 
-def recall(dispatcher: Decisions, event: io.Inherit) -> None:
-    """What was learned of classes and tenants that have the same names here, and of all workers."""
+def restore_memory(dispatcher: Decisions, event: io.Inherit) -> None:
+    """Restore what was learned of all workers, and of the classes and tenants that exist here too."""
     memory, context = event.memory, dispatcher.context
     context.fleet.out.update(memory.out)
-    _into_fleet(context.fleet, memory, {was: now for now, was in enumerate(event.kinds) if was >= 0})
-    for at, was in enumerate(event.classes):
-        if was >= 0:
-            dispatcher.spans[at] = min(memory.spans[was], context.settings.classes[at].deadline)
-    for bucket, was in zip(dispatcher.tenants.quotas, event.tenants, strict=True):
-        if was >= 0:
-            level, bucket.since = memory.quotas[was]
+    _restore_workers(
+        context.fleet,
+        memory,
+        {old_index: new_index for new_index, old_index in enumerate(event.kinds) if old_index >= 0},
+    )
+    for index, old_index in enumerate(event.classes):
+        if old_index >= 0:
+            dispatcher.spans[index] = min(memory.spans[old_index], context.settings.classes[index].deadline)
+    for bucket, old_index in zip(dispatcher.tenants.quotas, event.tenants, strict=True):
+        if old_index >= 0:
+            level, bucket.since = memory.quotas[old_index]
             bucket.level = min(level, bucket.depth)
-    if all(was < 0 for was in event.classes):  # jobs of another kind altogether
+    if all(old_index < 0 for old_index in event.classes):  # no class in common: the averages do not apply
         return
-    for name, part in _meters(dispatcher).items():
+    for name, part in _meter_owners(dispatcher).items():
         setattr(part, name, memory.meters[name])
     for name, rate in _rates(dispatcher).items():
-        if name in memory.rates:  # the version before may not have counted it
+        if name in memory.rates:  # an older version may not have counted it
             rate.resume(*memory.rates[name])
 
 
-def _of_fleet(fleet: Fleet) -> list[WorkerMemory]:
+def _export_workers(fleet: Fleet) -> list[WorkerMemory]:
     return [
-        WorkerMemory(entry=worker.entry, **{name: getattr(worker, name) for name in _LEARNED})
+        WorkerMemory(entry=worker.entry, **{name: getattr(worker, name) for name in _WORKER_FIELDS})
         for worker in fleet.workers.values()
     ]
 
 
-def _into_fleet(fleet: Fleet, memory: Memory, kinds: Mapping[int, int]) -> None:
-    """Its load is not taken over: what is out stays with the dispatcher that sent it.
+def _restore_workers(fleet: Fleet, memory: Memory, kinds: Mapping[int, int]) -> None:
+    """Restore the workers without their load, which stays with the dispatcher that sent it.
 
-    ``kinds``: positions here by those there.
+    ``kinds`` maps the predecessor's positions of machine kinds to those here.
     """
     for number, pace, slots, size in memory.kinds:
         if number in kinds:
             fleet.kinds[kinds[number]] = Kind(pace, slots, size)
     for known in memory.workers:
         worker = fleet.add(replace(known.entry, kind=kinds.get(known.entry.kind, 0)), known.cap)
-        for name in _LEARNED:
+        for name in _WORKER_FIELDS:
             setattr(worker, name, getattr(known, name))
--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -1,4 +1,4 @@
-"""Meters: decaying rates, waits, shares of keys and token buckets.  Times are integer microseconds."""
+"""Meters: decaying rates, queue waits, key popularity and token buckets.  Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -6,111 +6,114 @@
 from dataclasses import dataclass
 from typing import Final
 
-RATE_MEMORY: Final = 10.0  # seconds
-RATE_YOUNG: Final = 0.1  # of that, for which the first counts stand at the least
+RATE_DECAY_S: Final = 10.0
+MIN_COUNTED_SHARE: Final = 0.1  # share of the decay time that the first counts are spread over
 
 
 @dataclass(slots=True, eq=False)
 class Queue:
-    """How long jobs that began at a worker, or at any, had waited for it: what others send shows there."""
+    """Moving average of the queue wait at one worker or at all; it includes the load of other dispatchers."""
 
     wait: float = 0.0
-    seen: int = 0
+    updated_at: int = 0
 
     def add(self, wait: float, now: int, gain: float = 1.0) -> None:
-        """Count the wait of a job that has begun now."""
+        """Add the wait of a job that has begun now."""
         self.wait += (wait - self.wait) * gain
-        self.seen = now
+        self.updated_at = now
 
     def left(self, now: int, usual: float = 0.0) -> float:
-        """What is likely now: the older the news, the nearer to what is usual."""
-        return usual + (self.wait - usual) * math.exp((self.seen - now) / 1e6 / RATE_MEMORY)
+        """Return the expected wait: it decays from the last average to ``usual``."""
+        return usual + (self.wait - usual) * math.exp((self.updated_at - now) / 1e6 / RATE_DECAY_S)
 
 
 class Heat:
-    """What part of the jobs each key has lately: the last thousand count in full, those before half."""
+    """Share of each key in recent jobs: counts are halved once they add up to MAX_COUNT."""
 
-    MOST: Final = 1000
+    MAX_COUNT: Final = 1000
 
     def __init__(self) -> None:
         self._counts: dict[int, float] = {}
         self._total = 0.0
 
     def __bool__(self) -> bool:
-        """Whether jobs carry keys here at all."""
+        """Return whether any job carried a key."""
         return bool(self._counts)
 
     def add(self, key: int) -> bool:
-        """Counts a job; True for the first that carries a key at all."""
+        """Count a job; return True for the first one with a key."""
         first = not self._counts
         self._counts[key] = self._counts.get(key, 0.0) + 1
         self._total += 1
-        if self._total >= self.MOST:
+        if self._total >= self.MAX_COUNT:
             self._counts = {key: count / 2 for key, count in self._counts.items() if count > 1}
             self._total /= 2
         return first
 
     def share(self, key: int) -> float:
-        """Of all jobs; a few of them say little, and one that comes first may be one of many elsewhere."""
-        return self._counts.get(key, 0.0) / max(self._total, self.MOST / 50)
+        """Return a key's share of all jobs, counted as MAX_COUNT / 50 at least.
+
+        The first jobs seen say little: other dispatchers may get many with other keys.
+        """
+        return self._counts.get(key, 0.0) / max(self._total, self.MAX_COUNT / 50)
 
 
 @dataclass(slots=True, eq=False)
 class Rate:
-    """A decaying rate of what is added to it, over the time that it has been counted for."""
+    """An exponentially decaying rate, corrected for the time that it has been counted."""
 
     per_s: float = 0.0
     since: int = 0
-    born: int | None = None  # when the first was counted
+    first_at: int | None = None  # time of the first count
 
     def add(self, amount: float, now: int) -> None:
-        """Guards against a rate that is taken for low because its counting has just begun."""
-        if self.born is None:
-            self.born = self.since = now
-        self.per_s = self.left(now) + amount / RATE_MEMORY / self._counted(now)
+        """Add an amount, scaled up at first: a rate whose counting has just begun would be too low."""
+        if self.first_at is None:
+            self.first_at = self.since = now
+        self.per_s = self.left(now) + amount / RATE_DECAY_S / self._counted_share(now)
         self.since = now
 
     def left(self, now: int) -> float:
-        """What it has come down to since the last was added."""
-        fade = math.exp((self.since - now) / 1e6 / RATE_MEMORY)
-        return self.per_s * fade * self._counted(self.since) / self._counted(now)
+        """Return the rate at ``now``, decayed since the last count."""
+        decay = math.exp((self.since - now) / 1e6 / RATE_DECAY_S)
+        return self.per_s * decay * self._counted_share(self.since) / self._counted_share(now)
 
     def resume(self, per_s: float, since: int) -> None:
-        """Goes on with one that was counted elsewhere, for long enough."""
-        self.per_s, self.since, self.born = per_s, since, since - int(1e7 * RATE_MEMORY)
+        """Continue a rate that was counted elsewhere, long enough to need no correction."""
+        self.per_s, self.since, self.first_at = per_s, since, since - int(1e7 * RATE_DECAY_S)
 
-    def _counted(self, now: int) -> float:
-        """The part of its memory that it has been counted for."""
-        age = now - self.born if self.born is not None else 0
-        return max(RATE_YOUNG, 1 - math.exp(-age / 1e6 / RATE_MEMORY))
+    def _counted_share(self, now: int) -> float:
+        """Return the part of the decay window that has been counted."""
+        age = now - self.first_at if self.first_at is not None else 0
+        return max(MIN_COUNTED_SHARE, 1 - math.exp(-age / 1e6 / RATE_DECAY_S))
 
 
 @dataclass(slots=True, eq=False)
 class Bucket:
-    """A token bucket; one without a rate never runs empty."""
+    """A token bucket; one without a rate is never empty."""
 
     per_s: float
     depth: float
     level: float
     since: int = 0
 
-    def settle(self, now: int) -> None:
-        """Counts what has come in by now; to be called before the rate changes."""
+    def refill(self, now: int) -> None:
+        """Add the tokens due by ``now``; to be called before the rate changes."""
         self.level = min(self.level + self.per_s * (now - self.since) / 1e6, self.depth)
         self.since = now
 
     def fill(self, now: int) -> float:
-        """How full it is, 0 to 1."""
+        """Return the fill level, 0 to 1."""
         if self.per_s <= 0:
             return 1.0
-        self.settle(now)
+        self.refill(now)
         return self.level / self.depth
 
     def take(self, now: int) -> bool:
-        """Takes one token; False where there is none."""
+        """Take one token; return False if there is none."""
         if self.per_s <= 0:
             return True
-        self.settle(now)
+        self.refill(now)
         if self.level < 1:
             return False
         self.level -= 1
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers that a dispatcher knows, by what discovery, operators and peers tell; no decisions."""
+"""The workers that a dispatcher knows of from discovery, operators and peers.  No scheduling decisions."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from carthinge import interface as io
 from carthinge.records import Kind, Worker, mix
 
-LOAD_ENTRY: Final = Struct("<HBB")
-HOMES_KEPT: Final = 2048  # keys whose workers are not looked for anew: to hash with all costs time
+LOAD_ENTRY_FORMAT: Final = Struct("<HBB")
+MAX_CACHED_KEYS: Final = 2048  # cache size: a miss hashes the key with every worker
 
 
 class Loads:
-    """A message that tells other dispatchers, coarsely, what this one has out."""
+    """Codec of the message by which dispatchers share their outstanding load, coarsely rounded."""
 
-    MOST: Final = 64  # entries fill a message
+    MAX_ENTRIES: Final = 64  # of one message
 
     @staticmethod
     def pack(workers: Iterable[Worker], rng: Random) -> bytes:
-        """Encode what is out at workers, as many as fit a message."""
+        """Encode the outstanding load; a random sample of the workers if not all fit."""
         out = [worker for worker in workers if worker.slots_out > 0]
-        if len(out) > Loads.MOST:
-            out = rng.sample(out, Loads.MOST)
+        if len(out) > Loads.MAX_ENTRIES:
+            out = rng.sample(out, Loads.MAX_ENTRIES)
         return b"".join(
-            LOAD_ENTRY.pack(
+            LOAD_ENTRY_FORMAT.pack(
                 worker.tag,
                 min(255, round(worker.slots_out * 8)),
                 min(255, round(8 * math.log2(1 + worker.work_out))),
@@ -38,71 +38,73 @@
 
     @staticmethod
     def unpack(body: bytes) -> Iterator[tuple[int, float, float]]:
-        """Tag, slots and work of each entry."""
-        for tag, slots, work in LOAD_ENTRY.iter_unpack(body):
+        """Decode the tag, slots and work of each entry."""
+        for tag, slots, work in LOAD_ENTRY_FORMAT.iter_unpack(body):
             yield tag, slots / 8, 2 ** (work / 8) - 1
 
 
 class Fleet:
-    """All known workers, and the listed ones by machine kind in an order that all dispatchers share."""
+    """All known workers, and pools of the ready ones by machine kind, ordered alike in all dispatchers."""
 
     __slots__ = (
+        "_group_by_cell",
         "_groups",
-        "_homes",
-        "_part",
+        "_order_ranks",
         "_peers",
         "_pools",
-        "_ranks",
-        "_together",
+        "_select_subset",
+        "_workers_by_key",
         "kinds",
         "near",
         "out",
-        "tags",
         "version",
         "workers",
+        "workers_by_tag",
     )
 
-    def __init__(self, together: bool, part: Callable[[list[Worker]], list[Worker]]) -> None:
+    def __init__(self, group_by_cell: bool, select_subset: Callable[[list[Worker]], list[Worker]]) -> None:
         self.workers: dict[int, Worker] = {}
         self.kinds: dict[int, Kind] = {}
-        self.tags: dict[int, Worker] = {}
-        self.near: list[Worker] = []  # the part of the whole fleet that ``part`` chooses
-        self.out: set[int] = set()  # by hand: ids, since discovery may drop a worker and list it again
-        self.version = 0  # of what is listed
-        self._together = together  # workers of a cell stand side by side
-        self._part = part
+        self.workers_by_tag: dict[int, Worker] = {}
+        self.near: list[Worker] = []  # the subset of the ready workers that this dispatcher prefers
+        self.out: set[int] = (
+            set()
+        )  # excluded by operators: ids, since discovery may drop a worker and list it again
+        self.version = 0  # incremented whenever the list changes
+        self._group_by_cell = group_by_cell  # order the workers by cell
+        self._select_subset = select_subset
         self._pools: dict[int, list[Worker]] = {}
-        self._homes: dict[int, list[Worker]] = {}
-        self._peers: dict[int, list[tuple[Worker, float, float]]] = {}  # what each has told of last
-        self._ranks: dict[int, int] = {}  # slots in one dispatcher's own order, by id
-        self._groups: dict[int, list[list[Worker]]] = {}  # of the pools kept here and of ``near``, by id()
+        self._workers_by_key: dict[int, list[Worker]] = {}
+        self._peers: dict[int, list[tuple[Worker, float, float]]] = {}  # last message of each peer
+        self._order_ranks: dict[int, int] = {}  # position in this dispatcher's own order, by worker id
+        self._groups: dict[int, list[list[Worker]]] = {}  # of the cached pools and of ``near``, by id()
 
     def add(self, entry: io.WorkerEntry, cap: float) -> Worker:
-        """Takes in a worker not met before."""
+        """Add a worker that was not known before."""
         worker = Worker(entry, entry.worker, self.kinds.setdefault(entry.kind, Kind()), cap)
         self.workers[worker.id] = worker
-        self.tags.setdefault(worker.tag, worker)
+        self.workers_by_tag.setdefault(worker.tag, worker)
         return worker
 
     def anew(self, old: Worker, cap: float, now: int) -> Worker:
-        """Forgets a worker's past; attempts from before go on counting on the old record."""
+        """Replace a worker by a fresh record; its open attempts keep counting on the old one."""
         old.ready = False
         worker = self.add(old.entry, cap)
         worker.listed = old.listed
         worker.started = worker.back = now
-        self.tags[worker.tag] = worker
+        self.workers_by_tag[worker.tag] = worker
         return worker
 
     def mean_pace(self) -> float:
-        """Over the kinds that are known."""
+        """Return the mean slowdown over all known machine kinds."""
         return sum(kind.pace for kind in self.kinds.values()) / len(self.kinds) if self.kinds else 1.0
 
     def take(self, event: io.WorkerList, cap: float) -> None:
-        """What discovery lists; ``cap`` is for workers not met before."""
+        """Apply a worker list from discovery; ``cap`` is for workers not known before."""
         changed = event.listing is not io.Listing.CHANGES
         if changed:
             for worker in self.workers.values():
-                worker.ready = worker.listed = False  # unless it is named below
+                worker.ready = worker.listed = False  # unless listed below
         for entry in event.entries:
             known = self.workers.get(entry.worker)
             if known is None:
@@ -113,9 +115,9 @@
             self.renew()
 
     def retune(self, kinds: Sequence[int] | None) -> None:
-        """Other settings hold: what was learned of a machine kind goes on under its position now.
+        """Apply new settings: the statistics of a machine kind move to its new position.
 
-        ``kinds``: for each of them its position before, -1 for a new one, None where all stay as they are.
+        ``kinds`` has the old position of each kind, -1 for a new one; None if all stay as they are.
         """
         if kinds is not None:
             before, self.kinds = self.kinds, {}
@@ -123,7 +125,7 @@
         self.renew()
 
     def by_hand(self, event: io.ByHand, cap: float, now: int) -> None:
-        """Out until it is put back, whatever is listed; then it is cold, and nothing learned of it holds."""
+        """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
         worker = self.workers.get(event.worker)
         if worker and event.worker in self.out and not event.out:
             worker = self.anew(worker, cap, now)
@@ -133,29 +135,31 @@
         self.renew()
 
     def told(self, event: io.Message) -> None:
-        """What another dispatcher has out, in place of what it told of before."""
+        """Replace a peer's outstanding load by that of its latest message."""
         for worker, slots, work in self._peers.pop(event.sender, ()):
             worker.peer_slots -= slots
             worker.peer_work -= work
         loads = self._peers[event.sender] = [
-            (self.tags[tag], slots, work) for tag, slots, work in Loads.unpack(event.body) if tag in self.tags
+            (self.workers_by_tag[tag], slots, work)
+            for tag, slots, work in Loads.unpack(event.body)
+            if tag in self.workers_by_tag
         ]
         for worker, slots, work in loads:
             worker.peer_slots += slots
             worker.peer_work += work
 
     def excluded(self, now: int) -> int:
-        """How many of the listed workers get nothing just now, by hand or by choice."""
+        """Count the listed workers that currently get no jobs, whether excluded by operators or avoided."""
         return sum(
             worker.listed and (worker.id in self.out or worker.avoid_until > now)
             for worker in self.workers.values()
         )
 
     def shown(self, kind: Kind, slots: float, rated: bool) -> None:
-        """A worker of a kind has shown so many slots; where ratings tell sizes, others have theirs by size.
+        """Record the slots that a worker of a kind reported; scale those of other kinds if ratings are sizes.
 
-        Guards against a kind that is never seen with its slots free, since another dispatcher fills them:
-        this one would leave it to the other, and its own jobs would wait.
+        Without that, a kind whose slots another dispatcher keeps full would never report free ones: this
+        dispatcher would not use it, and its own jobs would wait.
         """
         if slots <= kind.slots:
             return
@@ -164,29 +168,29 @@
             other.slots = max(other.slots, round(slots * other.size / kind.size))
 
     def renew(self) -> None:
-        """To be called when the list has changed."""
+        """Drop the caches; to be called after any change of the list."""
         self.version += 1
         self._pools.clear()
         self._groups.clear()
-        self._homes.clear()
-        self._ranks.clear()
+        self._workers_by_key.clear()
+        self._order_ranks.clear()
         for worker in self.near:
             worker.near = False
-        self.near = self._part(self.pool(-1))
+        self.near = self._select_subset(self.pool(-1))
         for worker in self.near:
             worker.near = True
 
     def pool(self, kind: int) -> list[Worker]:
-        """The listed workers that run such jobs (-1: all), put together again only after a change."""
+        """Return the ready workers of a machine kind (-1 for all), cached until the list changes."""
         pool = self._pools.get(kind)
         if pool is None:
             ready = [worker for worker in self.workers.values() if worker.ready]
-            pool = sorted((w for w in ready if kind in (-1, w.entry.kind)), key=self._place)
+            pool = sorted((w for w in ready if kind in (-1, w.entry.kind)), key=self._sort_key)
             self._pools[kind] = pool
         return pool
 
     def by_kind(self, pool: list[Worker]) -> list[list[Worker]]:
-        """A pool's workers by their kinds, which are few: whoever draws need not look at all of them."""
+        """Return a pool's workers grouped by kind: kinds are few, so sampling need not scan the pool."""
         groups = self._groups.get(id(pool))
         if groups is None:
             found: dict[int, list[Worker]] = {}
@@ -198,27 +202,34 @@
         return groups
 
     def order(self, pool: list[Worker], settings: io.Settings) -> list[Worker]:
-        """A pool in an order of one dispatcher's own: the first are so that all together cover each worker
-        alike, the rest goes by hashes with its position.
+        """Return a pool in this dispatcher's own order.
+
+        The first worker follows from the dispatcher's position, so that all dispatchers together cover the
+        workers evenly; the rest is ordered by hashes with the position.
         """
-        if not self._ranks and (fleet := self.pool(-1)):
+        if not self._order_ranks and (fleet := self.pool(-1)):
             start = settings.position * len(fleet) // settings.instances % len(fleet)
-            mixed = mix(settings.position + 1)
-            rest = sorted(fleet[:start] + fleet[start + 1 :], key=lambda worker: mix(worker.point ^ mixed))
-            self._ranks = {worker.id: rank for rank, worker in enumerate([fleet[start], *rest])}
-        return sorted(pool, key=lambda worker: self._ranks.get(worker.id, len(self._ranks)))
+            position_hash = mix(settings.position + 1)
+            rest = sorted(
+                fleet[:start] + fleet[start + 1 :], key=lambda worker: mix(worker.point ^ position_hash)
+            )
+            self._order_ranks = {worker.id: rank for rank, worker in enumerate([fleet[start], *rest])}
+        return sorted(pool, key=lambda worker: self._order_ranks.get(worker.id, len(self._order_ranks)))
 
     def homes(self, key: int, count: int) -> list[Worker]:
-        """The workers that a key belongs to, the first most likely to keep it: those of the highest hashes
-        with it, so that each worker gets as many keys as any other, and only a leaving one's keys move.
+        """Return the workers that a key belongs to, by rendezvous hashing; the first most likely holds it.
+
+        Each worker gets the same number of keys, and only the keys of a leaving worker move.
         """
-        homes = self._homes.get(key, [])
+        homes = self._workers_by_key.get(key, [])
         if len(homes) < min(count, len(pool := self.pool(-1))):
-            if len(self._homes) >= HOMES_KEPT:
-                self._homes.clear()
-            mixed = mix(key)
-            homes = self._homes[key] = nlargest(count, pool, key=lambda worker: mix(worker.point ^ mixed))
+            if len(self._workers_by_key) >= MAX_CACHED_KEYS:
+                self._workers_by_key.clear()
+            key_hash = mix(key)
+            homes = self._workers_by_key[key] = nlargest(
+                count, pool, key=lambda worker: mix(worker.point ^ key_hash)
+            )
         return homes[:count]
 
-    def _place(self, worker: Worker) -> int:
-        return worker.point + (mix(worker.entry.cell + 1) << 64 if self._together else 0)
+    def _sort_key(self, worker: Worker) -> int:
+        return worker.point + (mix(worker.entry.cell + 1) << 64 if self._group_by_cell else 0)
