--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -1,10 +1,9 @@
-"""What a dispatcher is told, what it is given, and what it asks for.
+"""The events that a dispatcher handles and the actions that it returns.
 
 All times are integer microseconds on the caller's clock; the caller owns the
-clock, the sockets and the ids.  Worker ids are opaque integers, and so are
-request ids; classes, tenants, zones and machine kinds are positions in the
-lists of :class:`Settings`, which stands with the rest of what is told at
-the start in rules.py.
+clock, the sockets and the ids.  Worker ids and request ids are opaque integers;
+classes, tenants, zones and machine kinds are positions in the lists of
+:class:`Settings` (rules.py).
 """
 
 from __future__ import annotations
@@ -52,7 +51,7 @@
 
 @dataclass(slots=True)
 class ByHand:
-    """Operators take a worker out, or put it back; no list undoes that."""
+    """An operator excludes a worker or ends its exclusion; worker lists do not change that."""
 
     worker: int
     out: bool
@@ -60,10 +59,10 @@
 
 @dataclass(slots=True)
 class Inherit:
-    """Another dispatcher's memory, before anything else is told.
+    """The predecessor's memory, before any other event.
 
-    Its settings need not have been this one's: for each class, tenant and machine kind of this one comes its
-    position there, -1 for one that was not there.
+    Its settings may have differed: each class, tenant and machine kind of this dispatcher comes with its
+    position in the predecessor's, -1 for one that it did not have.
     """
 
     memory: Memory
@@ -74,7 +73,7 @@
 
 @dataclass(slots=True)
 class TakeOver:
-    """A job that another dispatcher took, with what that knew of it; its answer is now owed here."""
+    """A job that another dispatcher accepted, with its state; this one has to answer it now."""
 
     request: int
     tenant: int
@@ -83,9 +82,9 @@
 
 @dataclass(slots=True)
 class Restore:
-    """A job that a scheduler took before it died: an arrival, and what was sent of it.
+    """A durable job that a scheduler accepted before it died, with its attempts.
 
-    Whatever may have run then counts as that now; an attempt that is open is waited for.
+    Attempts that may have run still count as such; the outcome of an open one is awaited.
     """
 
     arrival: Arrival
@@ -94,46 +93,46 @@
 
 @dataclass(slots=True)
 class GiveAway:
-    """Another dispatcher has taken a job over: nothing of it is this one's any more."""
+    """Another dispatcher has taken over a job, with its attempts and its answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Leave:
-    """Another dispatcher takes the place of this one, or (``leaving`` False) does not after all."""
+    """A successor is about to replace this dispatcher, or (``leaving`` False) will not after all."""
 
     leaving: bool
 
 
 @dataclass(slots=True)
 class Retune:
-    """Other settings hold for what comes from now on; jobs that are open keep the class they came with."""
+    """New settings for jobs that arrive from now on; open jobs keep the class they arrived with."""
 
     settings: Settings
-    classes: Sequence[int]  #: for each class its position before, -1 for a new one
+    classes: Sequence[int]  #: the old position of each class, -1 for a new one
     tenants: Sequence[int]  #: the same for the tenants
-    kinds: Sequence[int] | None = None  #: the same for the machine kinds, None where they are as before
+    kinds: Sequence[int] | None = None  #: the same for the machine kinds, None if they are unchanged
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A client's job; one final answer is now owed."""
+    """A client's job, which gets exactly one final answer."""
 
     request: int
     job_class: int
-    give_up: int  #: clock time at which the client stops waiting
+    give_up: int  #: time at which the client stops waiting
     tenant: int = 0
     key: int = 0
     hint: int | None = None  #: expected work in microseconds of a standard core
     slots: float = 1.0
     memory: float = 0.0
-    repeat: bool = False
+    repeat: bool = False  #: the client's retry of an earlier request
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt belongs to the client now."""
+    """A streamed answer has begun; the job is not retried any more."""
 
     request: int
     attempt: int
@@ -142,28 +141,28 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """How an attempt ended; every send gets exactly one."""
+    """How an attempt ended; every :class:`Send` gets exactly one."""
 
     request: int
     attempt: int
     worker: int
     result: Result
     latency: int
-    finished: bool  #: the request has its final answer
+    finished: bool  #: the client has its final answer
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
 class Abandoned:
-    """The client has gone; nothing more is owed."""
+    """The client has disconnected; the request needs no answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Note:
-    """News of an attempt that is still out: begun (``done`` is None), the share done, or only that its worker
-    has it (``begun`` is False)."""
+    """A report on an open attempt: that it has begun (``done`` is None), the share done, or only a heartbeat
+    of its worker (``begun`` is False)."""
 
     request: int
     attempt: int
@@ -192,18 +191,20 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """What several dispatchers know or have agreed on together, in place of what was told before."""
+    """What the schedulers of a fleet have agreed on; replaces the previous view."""
 
-    alone: Sequence[tuple[int, int]] = ()  #: workers to be left alone, and until when
-    parts: Sequence[float] = ()  #: of each tenant the part of its quota here, 1.0 for an equal one
-    levels: Mapping[tuple[int, int], int] = field(default_factory=dict)  #: what is shed of each tenant and
-    #: class, per cent; of one that is not in it as much as the dispatcher finds by itself
-    repeats: float = 0.0  #: further attempts that others have given to this one since the last; or below 0
+    alone: Sequence[tuple[int, int]] = ()  #: workers that get no jobs, and until when
+    parts: Sequence[float] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
+    levels: Mapping[tuple[int, int], int] = field(default_factory=dict)  #: shedding level of each
+    #: tenant and class, per cent; the dispatcher determines those that are missing by itself
+    repeats: float = (
+        0.0  #: retries of budget received from others since the last view, negative if given away
+    )
 
 
 @dataclass(slots=True)
 class Timer:
-    """A timer that was asked for has come due."""
+    """A timer set by :class:`SetTimer` is due."""
 
     token: int
 
@@ -234,16 +235,16 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered 0, 1, 2 ... in this order."""
+    """Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in order of sending."""
 
     request: int
     worker: int
-    timeout: int = 0  #: 0 for until the client gives up
-    start_by: int = 0  #: clock time from which on it may not go out any more; 0 for no such limit
+    timeout: int = 0  #: 0 for the time until the client gives up
+    start_by: int = 0  #: time from which it must not be sent any more, 0 for no limit
 
 
 class GaveUp(Enum):
-    """Why a request is refused or fails; for logs alone, nothing is decided by it."""
+    """Why a request is refused or fails; used in logs only."""
 
     UNKNOWN = "unknown"
     OVERLOAD = "load is shed"
@@ -254,7 +255,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not served, trying again is harmless."""
+    """Final answer: not served; a retry is safe."""
 
     request: int
     stay_away: int = 0
@@ -263,7 +264,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised about the effect."""
+    """Final answer: failed; the job may or may not have taken effect."""
 
     request: int
     why: GaveUp = field(default=GaveUp.UNKNOWN, compare=False)
@@ -279,7 +280,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Check a worker."""
+    """Probe a worker."""
 
     worker: int
 
@@ -294,7 +295,7 @@
 
 @dataclass(slots=True)
 class Tell:
-    """Send bytes to one dispatcher, or to all others when ``to`` is None."""
+    """Send bytes to one other dispatcher, or to all if ``to`` is None."""
 
     body: bytes
     to: int | None = None
@@ -302,12 +303,12 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the worker list."""
 
 
 @dataclass(slots=True)
 class LogLine:
-    """A line for the operators."""
+    """A line for the log."""
 
     text: str
 
--- a/carthinge/rules.py
+++ b/carthinge/rules.py
@@ -1,6 +1,6 @@
-"""What a dispatcher is told at its start: classes of jobs, tenants, and the rules of the site.
+"""Settings of a dispatcher: classes of jobs, tenants and the rules of the site.
 
-All spans are integer microseconds; classes, tenants and machine kinds go by their positions here.
+All durations are integer microseconds; classes, tenants and machine kinds are identified by position.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """What running a job twice would do."""
+    """Whether a job may be run more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class Scope(Enum):
-    """Which workers drop a repeat of a keyed job."""
+    """Among which workers a repeated keyed job is recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 
 class Reports(Enum):
-    """Where load reports of workers come from."""
+    """Where the load reports of workers come from."""
 
     OFF = "off"
     ANSWERS = "answers"
@@ -45,24 +45,24 @@
 def _reject_negative(record: object) -> None:
     for field in fields(record):  # type: ignore[arg-type]
         value = getattr(record, field.name)
-        figure = isinstance(value, int | float) and field.name != "kind"
-        if figure and not value >= 0:
+        is_number = isinstance(value, int | float) and field.name != "kind"
+        if is_number and not value >= 0:
             raise ValueError(f"{field.name}: must not be negative, got {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of jobs: what its answers are worth and how it may be repeated."""
+    """One class of jobs: the worth of its answers and how it may be retried."""
 
-    objective: int  #: answers within this time (plus ``stretch`` x own work) earn the full worth
+    objective: int  #: answers within this time (plus ``stretch`` x the job's work) earn the full worth
     deadline: int  #: total time a client waits
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
-    window: int = 0  #: how long a keyed repeat is dropped, from the first send that may have run
+    window: int = 0  #: how long a repeated key is recognized, from the first send that may have run
     worth: float = 1.0
     late_worth: float = 0.0  #: share of the worth earned after the objective
     stretch: float = 0.0
-    kind: int = -1  #: the only machine kind that runs it, -1 for any
+    kind: int = -1  #: the machine kind that it requires, -1 for any
     priority: int = 0
     streamed: bool = False
 
@@ -72,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant's part of the service."""
+    """One tenant's share and quota."""
 
     share: float = 0.0
-    quota_per_s: float = 0.0  #: requests a second within the share, over all dispatchers
+    quota_per_s: float = 0.0  #: requests per second that count as within its share, over all dispatchers
 
     def __post_init__(self) -> None:
         _reject_negative(self)
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything a dispatcher is told at its start."""
+    """All settings of a dispatcher."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -93,22 +93,22 @@
     zone: int = 0
     weights: Weights = Weights.OFF
     reports: Reports = Reports.OFF
-    report_fields: tuple[str, ...] = ()  #: of these ``free_slots``, ``free_memory``, ``held`` are read
+    report_fields: tuple[str, ...] = ()  #: those in use are ``free_slots``, ``free_memory`` and ``held``
     tells_start: bool = False
-    progress: int = 0  #: interval of progress notes, 0 for none
-    subscribe: bool = False  #: the worker list must be watched to be delivered
+    progress: int = 0  #: interval of progress reports, 0 for none
+    subscribe: bool = False  #: the worker list is delivered only if it is watched
     worth_by_work: bool = False
     over_share_worth: float = 1.0
     may_probe: bool = False
     may_tell: bool = False
     may_cancel: bool = False
     may_copy: bool = False
-    may_advise: bool = False  #: clients are told how long to stay away
+    may_advise: bool = False  #: refused clients get a retry_after
     try_limit: int = 1
     max_retry_after: int = 0
-    idle_close: int = 0  #: a worker closes a connection that was idle for so long
+    idle_close: int = 0  #: idle time after which a worker closes a connection
     price_probe: float = 0.0
-    price_connection: float = 0.0  #: of one more open connection, its opening included
+    price_connection: float = 0.0  #: of one more open connection, including its setup
     price_fetch: float = 0.0
     price_message: float = 0.0
     price_cross_zone: float = 0.0
@@ -123,7 +123,7 @@
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes: at least one is required")
-        for name, least in (("instances", 1), ("try_limit", 1), ("kinds", 1)):
-            if getattr(self, name) < least:
-                raise ValueError(f"{name}: must be at least {least}, got {getattr(self, name)!r}")
+        for name, minimum in (("instances", 1), ("try_limit", 1), ("kinds", 1)):
+            if getattr(self, name) < minimum:
+                raise ValueError(f"{name}: must be at least {minimum}, got {getattr(self, name)!r}")
         _reject_negative(self)
--- a/carthinge/worker_list.py
+++ b/carthinge/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers as a dispatcher is told of it."""
+"""The worker list that a dispatcher gets from discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Listing(IntEnum):
-    """How a worker list relates to the one held before."""
+    """How a worker list relates to the previous one."""
 
     CHANGES = 0
     WHOLE = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One line of the worker list."""
+    """One entry of the worker list."""
 
     worker: int
     zone: int = 0
@@ -34,12 +34,12 @@
     cell: int = 0
     state: State = State.READY
     rating: float = 1.0
-    started: int = 0  #: time of the latest start, 0 for long ago
+    started: int = 0  #: time of the last start, 0 for long ago
 
 
 @dataclass(slots=True)
 class WorkerList:
-    """What discovery says."""
+    """A worker list, a change of one, or the failure to get one."""
 
     listing: Listing
     entries: Sequence[WorkerEntry] = ()
