--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -1,7 +1,7 @@
-"""The one reader of a scheduler's settings, for the simulator's adapter and for the real program.
+"""Parser of a scheduler's settings, shared by the simulator's adapter and the real program.
 
-The simulator sends them as ``path=value`` lines, a real scheduler finds them as nested JSON in its
-configuration; names and units are the same.  Both become one table from paths to values first.
+The simulator sends them as ``path=value`` lines, a real scheduler reads them as nested JSON from its
+configuration; names and units are the same.  Both are first converted to one table from paths to values.
 """
 
 from __future__ import annotations
@@ -23,40 +23,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """What the program around the decision module needs to know of the site."""
+    """The settings of the decision module, and those that the program around it needs."""
 
     decisions: Settings
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    report_fields: tuple[str, ...]  #: as workers name them, in the order the module reads them
+    report_fields: tuple[str, ...]  #: by the workers' names, in the order in which the module reads them
     connect_timeout: timedelta
-    idle_close: timedelta  #: the other side closes a connection that was idle for so long
+    idle_close: timedelta  #: idle time after which a worker closes a connection
     max_retry_after: timedelta
-    pushed: bool  #: an agent beside the scheduler has the list; what it has counts as told
-    drain_grace: timedelta  #: so long after that was told nothing new may go to a worker that leaves
+    pushed: bool  #: an agent pushes the list; what the agent has counts as known
+    drain_grace: timedelta  #: time after which a worker listed as leaving may get no new job
 
 
 class Facts:
-    """Settings by path, read with the fault named; ``typed`` ones must be of the right JSON type."""
+    """Settings by path; errors name the path.  ``typed`` ones must have the right JSON type."""
 
     def __init__(self, values: Mapping[str, object], typed: bool = False) -> None:
         self.values = values
-        self._typed = typed
+        self._check_types = typed
 
     @classmethod
     def from_lines(cls, text: str) -> Facts:
-        """From the simulator's ``path=value`` lines."""
+        """Parse the simulator's ``path=value`` lines."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     @classmethod
     def from_nested(cls, nested: Mapping[str, Any]) -> Facts:
-        """From nested JSON; a list of objects gets a count, as it has in the lines."""
+        """Flatten nested JSON; a list of objects gets a count, as in the simulator's lines."""
         return cls(dict(_flatten(nested)), typed=True)
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return a text; ValueError where it is missing and has no default."""
+        """Return a string; ValueError if it is missing and has no default."""
         value = self.values.get(path, default)
         if value is None:
             raise ValueError(f"{path}: missing")
@@ -64,8 +64,10 @@
         return str(value)
 
     def word(self, path: str) -> str:
-        """A phrase as one word.  The lines have it so; left as it is in JSON ("free slots"), it would not
-        be known, and the module would go without load reports."""
+        """Return a phrase with underscores for blanks, as the simulator's lines have it.
+
+        Otherwise "free slots" in JSON would not be recognized and load reports would go unused.
+        """
         return self.text(path, "").replace(" ", "_")
 
     def number(self, path: str, default: float | None = None) -> float:
@@ -75,40 +77,42 @@
             raise ValueError(f"{path}: missing")
         self._check(path, raw, int, float)
         try:
-            figure = float(str(raw))
+            parsed = float(str(raw))
         except ValueError:
             raise ValueError(f"{path}: not a number: {raw!r}") from None
-        if not math.isfinite(figure):
+        if not math.isfinite(parsed):
             raise ValueError(f"{path}: not finite: {raw!r}")
-        return figure
+        return parsed
 
     def whole(self, path: str, default: int | None = None) -> int:
-        """Return a number without its fraction."""
+        """Return a number as an integer, truncated."""
         return int(self.number(path, default))
 
     def _check(self, path: str, value: object, *kinds: type) -> None:
-        """Guards against JSON that would pass for what it is not: "5" for a number, or 1 for a flag."""
-        if self._typed and (not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds)):
-            raise ValueError(f"{path}: of the wrong type: {value!r}")
+        """Reject JSON values that would be converted silently, such as "5" for a number or 1 for a flag."""
+        if self._check_types and (
+            not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds)
+        ):
+            raise ValueError(f"{path}: wrong type: {value!r}")
 
     def span(self, path: str, default: timedelta) -> timedelta:
-        """Return a span that is given in microseconds."""
+        """Return a duration that is given in microseconds."""
         return timedelta(microseconds=self.number(path, default / timedelta(microseconds=1)))
 
     def flag(self, path: str) -> bool:
-        """Return a flag, False where it is missing."""
+        """Return a flag, False if it is missing."""
         value = self.values.get(path, False)
         self._check(path, value, bool)
         return value in ("true", True)
 
     def listed(self, path: str) -> list[str]:
-        """Return a list of texts, empty where it is missing."""
+        """Return a list of strings, empty if it is missing."""
         raw = self.values.get(path) or []
         self._check(path, raw, list)
-        return [str(item) for item in (raw.split(",") if isinstance(raw, str) else _items(raw))]
+        return [str(item) for item in (raw.split(",") if isinstance(raw, str) else _as_list(raw))]
 
     def choice(self, path: str, choices: dict[str, T], default: str) -> T:
-        """Return what a word stands for; ValueError where it stands for nothing."""
+        """Return the choice that a string names; ValueError if there is none."""
         raw = self.text(path, default)
         if raw not in choices:
             raise ValueError(f"{path}: unknown value {raw!r}")
@@ -116,7 +120,7 @@
 
 
 def shape_of(nested: Mapping[str, Any], prefix: str = "") -> set[str]:
-    """Which keys there are, by path; of a list of objects those that all of them have."""
+    """Return the paths of all keys; of a list of objects, those that all its objects have."""
     paths = set()
     for name, value in nested.items():
         paths.add(path := prefix + name)
@@ -127,7 +131,7 @@
     return paths
 
 
-def _items(raw: object) -> list[object]:
+def _as_list(raw: object) -> list[object]:
     return raw if isinstance(raw, list) else [raw]
 
 
@@ -144,37 +148,37 @@
 
 
 def read_site(facts: Facts) -> Site:
-    """The settings of the module and what else the real program needs."""
+    """Read the settings of the module and what else the real program needs."""
     decisions = read_settings(facts)
     return Site(
-        # Real schedulers have no way to talk to each other, whatever a site would allow.
+        # The module's messages have no transport between real schedulers, whatever a site allows.
         decisions=replace(decisions, may_tell=False),
-        classes=_names(facts, "services"),
-        tenants=_names(facts, "tenants"),
+        classes=_unique_names(facts, "services"),
+        tenants=_unique_names(facts, "tenants"),
         zones=tuple(facts.listed("zones")),
         kinds=tuple(facts.listed("machine_types")),
         report_fields=tuple(facts.listed("load_info.fields")),
         connect_timeout=facts.span("caps.dial_timeout", timedelta(milliseconds=250)),
         idle_close=facts.span("caps.idle_close", timedelta(seconds=5)),
         max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_advise),
-        pushed=_pushed(facts),
+        pushed=_is_pushed(facts),
         drain_grace=facts.span("rules.drain_grace", timedelta()),
     )
 
 
-def _pushed(facts: Facts) -> bool:
+def _is_pushed(facts: Facts) -> bool:
     return facts.choice("membership_mode", {"automatic": True, "subscribe": False}, "automatic")
 
 
-def _names(facts: Facts, path: str) -> tuple[str, ...]:
+def _unique_names(facts: Facts, path: str) -> tuple[str, ...]:
     names = tuple(facts.text(f"{path}.{i}.name") for i in range(facts.whole(f"{path}.count", 0)))
     if len(set(names)) < len(names):
-        raise ValueError(f"{path}: a name comes twice")
+        raise ValueError(f"{path}: duplicate name")
     return names
 
 
 def read_settings(facts: Facts) -> Settings:
-    """The settings of one instance; keys this reader does not know are ignored."""
+    """Read the settings of one instance; unknown keys are ignored."""
     names = {
         "rif": "held",
         "inflight": "held",
@@ -197,7 +201,7 @@
         report_fields=fields,
         tells_start=facts.flag("extra.tells_start"),
         progress=facts.whole("extra.progress", 0),
-        subscribe=not _pushed(facts),
+        subscribe=not _is_pushed(facts),
         worth_by_work=facts.text("counted_by", "request") == "work",
         over_share_worth=facts.number("over_share_worth", 1),
         may_probe=facts.flag("caps.probing"),
@@ -228,23 +232,23 @@
         listed = facts.listed(f"extra.{name}")
         return float(listed[index]) if index < len(listed) else default
 
-    at = f"services.{index}."
-    effect = facts.choice(at + "effect", EFFECTS, "")
+    prefix = f"services.{index}."
+    effect = facts.choice(prefix + "effect", EFFECTS, "")
     return JobClass(
-        objective=facts.whole(at + "objective"),
-        deadline=facts.whole(at + "hard_limit"),
+        objective=facts.whole(prefix + "objective"),
+        deadline=facts.whole(prefix + "hard_limit"),
         effect=effect,
-        scope=facts.choice(at + "group", SCOPES, "all"),
-        window=facts.whole(at + "window", None if effect is Effect.KEYED else 0),
-        worth=facts.number(at + "value", 1),
-        late_worth=facts.number(at + "late_worth", 0),
+        scope=facts.choice(prefix + "group", SCOPES, "all"),
+        window=facts.whole(prefix + "window", None if effect is Effect.KEYED else 0),
+        worth=facts.number(prefix + "value", 1),
+        late_worth=facts.number(prefix + "late_worth", 0),
         stretch=extra("class_stretch", 0),
         kind=int(extra("class_kind", -1)),
         priority=int(extra("class_priority", 0)),
-        streamed=facts.flag(at + "stream"),
+        streamed=facts.flag(prefix + "stream"),
     )
 
 
 def positions(names: tuple[str, ...], before: tuple[str, ...]) -> list[int]:
-    """Where each of these names stood before, -1 where it did not."""
+    """Return the old position of each name, -1 for a new one."""
     return [before.index(name) if name in before else -1 for name in names]
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -47,7 +47,7 @@
         ("[durable]\nclasses = ['reindex']", "durable.folder: expected a folder"),
         ("durable = 3", "durable: Expected `object`, got `int`"),
         ("[leases]\nduration = true", "leases.duration: Expected `duration`, got `bool`"),
-        ("[leases]\nduration = 0", "leases.duration: expected a span of at least 0.1 s"),
+        ("[leases]\nduration = 0", "leases.duration: expected a duration of at least 0.1 s"),
         ("[leases]\nduration = 1e300", "out of range"),
         ("[leases", "not TOML"),
         ("[fleet]\nperiod = 2", "fleet.listen: expected an address"),
@@ -60,9 +60,12 @@
         ),
         (
             "[fleet]\nlisten = '10.0.0.7:7946'\nperiod = 0.01",
-            "fleet.period: expected a span of at least 0.1 s",
+            "fleet.period: expected a duration of at least 0.1 s",
+        ),
+        (
+            "[fleet]\nlisten = '10.0.0.7:7946'\nperiod = 3600",
+            "fleet.period: expected a duration of at most 60 s",
         ),
-        ("[fleet]\nlisten = '10.0.0.7:7946'\nperiod = 3600", "fleet.period: expected a span of at most 60 s"),
         ("[fleet]\nlisten = '10.0.0.7:7946'\nkey_file = '/nowhere'", "fleet.key_file: No such file"),
         (
             "[fleet]\nlisten = '10.0.0.7:7946'\nkey_file = '/dev/null'",
