--- a/carthinge/__init__.py
+++ b/carthinge/__init__.py
@@ -1,4 +1,4 @@
-"""carthinge: the decisions of a dispatcher that pushes jobs to workers."""
+"""carthinge: a push scheduler for job workers; this package exports its decision module."""
 
 from carthinge.policy import Dispatcher
 
--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -1,7 +1,7 @@
-"""Hosts dispatchers on the bench's wire: ``python -m carthinge.benchlink``.
+"""Runs dispatchers for the simulator, over stdin and stdout: ``python -m carthinge.benchlink``.
 
-It translates between wire records and the types of interface.py and decides
-nothing.  Instances share only decoded worker lists, which nobody changes.
+It only translates between wire records and the types of interface.py.  The
+dispatchers share nothing but decoded worker lists, which are immutable.
 """
 
 from __future__ import annotations
@@ -63,21 +63,21 @@
     return WorkerEntry(worker_id(worker), zone, kind, cell, State(state), rating, started)
 
 
-def _arrival(f: Fields) -> Arrival:
-    _, request, job_class, tenant, key, give_up, hint, slots, memory, marks = f
+def _arrival(fields: Fields) -> Arrival:
+    _, request, job_class, tenant, key, give_up, hint, slots, memory, flags = fields
     return Arrival(
-        request, job_class, give_up, tenant, key, hint if marks & 1 else None, slots, memory, bool(marks & 2)
+        request, job_class, give_up, tenant, key, hint if flags & 1 else None, slots, memory, bool(flags & 2)
     )
 
 
-def _outcome(f: Fields) -> Outcome:
-    _, request, lag, finished, worker, attempt, status, _, report = f
-    return Outcome(request, attempt, worker_id(worker), RESULTS[status], lag, bool(finished), report)
+def _outcome(fields: Fields) -> Outcome:
+    _, request, latency, finished, worker, attempt, status, _, report = fields
+    return Outcome(request, attempt, worker_id(worker), RESULTS[status], latency, bool(finished), report)
 
 
-def _note(f: Fields) -> Note:
-    _, request, attempt, worker, sort, level = f
-    return Note(request, attempt, worker_id(worker), None if sort == 1 else level)
+def _note(fields: Fields) -> Note:
+    _, request, attempt, worker, note_kind, done = fields
+    return Note(request, attempt, worker_id(worker), None if note_kind == 1 else done)
 
 
 TRANSLATORS: Final[dict[int, Callable[[Fields], Event]]] = {
@@ -97,29 +97,29 @@
 
 
 ENCODERS: Final[dict[type, tuple[int, Callable[[int, Any], Fields]]]] = {
-    Send: (Act.ISSUE, lambda who, a: (who, a.request, _wire_worker(a.worker), a.timeout)),
-    Refuse: (Act.BOUNCE, lambda who, a: (who, a.request, a.stay_away)),
-    Fail: (Act.END_FAILED, lambda who, a: (who, a.request)),
-    Cancel: (Act.WITHDRAW, lambda who, a: (who, a.request, a.attempt)),
-    Probe: (Act.PROBE, lambda who, a: (who, _wire_worker(a.worker))),
-    SetTimer: (Act.SLEEP, lambda who, a: (who, a.token, a.due)),
-    Tell: (Act.MEMO_TO, lambda who, a: (who, wire.EVERY_PEER if a.to is None else a.to, a.body)),
-    Watch: (Act.WATCH, lambda who, a: (who, 1)),
-    LogLine: (Act.LOG, lambda who, a: (who, a.text.encode()[:200])),
+    Send: (Act.ISSUE, lambda instance, a: (instance, a.request, _wire_worker(a.worker), a.timeout)),
+    Refuse: (Act.BOUNCE, lambda instance, a: (instance, a.request, a.stay_away)),
+    Fail: (Act.END_FAILED, lambda instance, a: (instance, a.request)),
+    Cancel: (Act.WITHDRAW, lambda instance, a: (instance, a.request, a.attempt)),
+    Probe: (Act.PROBE, lambda instance, a: (instance, _wire_worker(a.worker))),
+    SetTimer: (Act.SLEEP, lambda instance, a: (instance, a.token, a.due)),
+    Tell: (Act.MEMO_TO, lambda instance, a: (instance, wire.EVERY_PEER if a.to is None else a.to, a.body)),
+    Watch: (Act.WATCH, lambda instance, a: (instance, 1)),
+    LogLine: (Act.LOG, lambda instance, a: (instance, a.text.encode()[:200])),
 }
 
 
 class Host:
-    """The dispatchers of this process and the numbered lists they were told of."""
+    """The dispatchers of this process and the worker lists they refer to by number."""
 
     def __init__(self) -> None:
         self.dispatchers: dict[int, Dispatcher] = {}
         self.tables: dict[int, tuple[WorkerEntry, ...]] = {}
         self.reply: list[bytes] = []
-        self.faulted: set[int] = set()
+        self.failed_instances: set[int] = set()
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one batch."""
+        """Process a batch of events; return the encoded reply."""
         now, records = wire.decode_batch(frame)
         self.reply = []
         inbox: dict[int, list[Event]] = {}
@@ -127,35 +127,37 @@
             if code == Ev.CATALOG:
                 self.tables[fields[0]] = tuple(_entry(raw) for raw in fields[1])
                 continue
-            who = fields[0]
+            instance = fields[0]
             if code == Ev.NEW_INSTANCE:
-                inbox.pop(who, None)
-                self._guarded(who, lambda w=who, f=fields: self._start(w, f))  # type: ignore[misc]
+                inbox.pop(instance, None)
+                self._run_step(instance, lambda i=instance, f=fields: self._start(i, f))  # type: ignore[misc]
             elif code == Ev.SHUTDOWN:
-                inbox.pop(who, None)
-                self.dispatchers.pop(who, None)
+                inbox.pop(instance, None)
+                self.dispatchers.pop(instance, None)
             else:
                 event = self._sync(fields) if code == Ev.SYNC else TRANSLATORS[code](fields)
-                if who in self.dispatchers:
-                    inbox.setdefault(who, []).append(event)
-        for who, events in inbox.items():
-            self._guarded(who, lambda w=who, e=events: self._act(w, now, e))  # type: ignore[misc]
+                if instance in self.dispatchers:
+                    inbox.setdefault(instance, []).append(event)
+        for instance, events in inbox.items():
+            self._run_step(instance, lambda i=instance, e=events: self._handle(i, now, e))  # type: ignore[misc]
         return wire.encode_reply(self.reply)
 
-    def _guarded(self, who: int, step: Callable[[], None]) -> None:
-        """A bug in the decision code ends the day with its text; it is never swallowed."""
+    def _run_step(self, instance: int, step: Callable[[], None]) -> None:
+        """Run a step; report an exception of the decision code, which ends the simulation."""
         try:
             step()
-        except Exception as fault:
+        except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            if who not in self.faulted:
-                self.faulted.add(who)
-                where = traceback.extract_tb(fault.__traceback__)[-1]
-                text = f"{type(fault).__name__}: {fault} ({where.name}:{where.lineno})"
-                self.reply.append(wire.encode_record(Act.BAIL_OUT, (who, text.encode()[:1000]), ACTIONS))
+            if instance not in self.failed_instances:
+                self.failed_instances.add(instance)
+                frame_summary = traceback.extract_tb(error.__traceback__)[-1]
+                text = f"{type(error).__name__}: {error} ({frame_summary.name}:{frame_summary.lineno})"
+                self.reply.append(wire.encode_record(Act.BAIL_OUT, (instance, text.encode()[:1000]), ACTIONS))
 
-    def _start(self, who: int, fields: Fields) -> None:
-        self.dispatchers[who] = Dispatcher(read_settings(Facts.from_lines(fields[2].decode())), fields[1])
+    def _start(self, instance: int, fields: Fields) -> None:
+        self.dispatchers[instance] = Dispatcher(
+            read_settings(Facts.from_lines(fields[2].decode())), fields[1]
+        )
 
     def _sync(self, fields: Fields) -> WorkerList:
         _, _, scope, table = fields
@@ -166,10 +168,10 @@
             raise WireError(f"table {table} was never given (SYNC, bytes 10 and 11)")
         return WorkerList(listing, self.tables[table])
 
-    def _act(self, who: int, now: int, events: list[Event]) -> None:
-        for action in self.dispatchers[who].handle(now, events):
+    def _handle(self, instance: int, now: int, events: list[Event]) -> None:
+        for action in self.dispatchers[instance].handle(now, events):
             code, fields_of = ENCODERS[type(action)]
-            self.reply.append(wire.encode_record(code, fields_of(who, action), ACTIONS))
+            self.reply.append(wire.encode_record(code, fields_of(instance, action), ACTIONS))
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
@@ -184,8 +186,8 @@
     """Serve the simulator until its input ends; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as fault:
-        print(f"benchlink: {fault}", file=sys.stderr)
+    except WireError as error:
+        print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/carthinge/cli.py
+++ b/carthinge/cli.py
@@ -1,4 +1,4 @@
-"""The command line's sub-commands."""
+"""The command line's subcommands."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from carthinge.durable.cli import app as store_app
 from carthinge.net import log
 
-File = Annotated[str | None, typer.Option("--file", help="the operator's own file; else CARTHINGE_FILE")]
+File = Annotated[
+    str | None, typer.Option("--file", help="the operator's configuration file; default: CARTHINGE_FILE")
+]
 
 app = typer.Typer(
     add_completion=False, pretty_exceptions_enable=False, help="A push scheduler for job workers."
@@ -20,7 +22,7 @@
 
 @app.callback(invoke_without_command=True)
 def default(context: typer.Context, file: File = None) -> None:
-    """Serves, unless a sub-command is given."""
+    """Run a scheduler if no subcommand is given."""
     if context.invoked_subcommand is None:
         raise typer.Exit(serving.serve(file=file))
 
@@ -43,7 +45,7 @@
 
 @app.command()
 def check_config(file: File = None) -> None:
-    """Read the configuration as `serve` does and say what it holds."""
+    """Read the configuration as `serve` does and print a summary."""
     config = serving.configured(file)
     if config is None:
         raise typer.Exit(serving.BAD_CONFIG)
--- a/carthinge/leases.py
+++ b/carthinge/leases.py
@@ -1,11 +1,11 @@
-"""Leases: which worker holds a job until when.  No I/O and no clock: the caller says what time it is.
+"""Leases: which worker holds a job until when.  No I/O and no clock: the caller passes the time.
 
-An attempt's lease begins once its worker has shown that it takes part (by its 202, or by a call-back that
-carries the token), and ends one duration after the last sign.  Workers that know nothing of leases never hold
-one, and their attempts end as ever.
+An attempt's lease begins when its worker shows that it supports leases (by its 202, or by a callback that
+carries the token), and expires one duration after its last renewal.  Workers without support never hold a
+lease, and their attempts end as they do without leases.
 
-Tokens are fencing tokens: whoever grants them sees to it that none is ever used twice, so that a call-back
-that carries one can only be about that one attempt.
+Tokens are fencing tokens: their issuer never uses one twice, so a callback that carries a token can only be
+about that one attempt.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 
 
 class Leases(Generic[Holder]):
-    """All leases that are out, by their tokens."""
+    """All current leases, by token."""
 
     def __init__(self, duration: timedelta) -> None:
         if duration <= timedelta():
-            raise ValueError(f"duration: must be over 0, got {duration!r}")
+            raise ValueError(f"duration: must be greater than 0, got {duration!r}")
         self.duration = duration
         self._leases: dict[int, _Lease[Holder]] = {}
-        # A renewal moves ``until`` only; the entry here is put back when it comes up too early.  So a renewal
-        # costs no more than a look-up, and there is one entry for each lease however often it is renewed.
+        # A renewal changes only ``until``; expire() pushes an entry back if its lease was renewed meanwhile.
+        # So a renewal costs one lookup, and each lease has one entry however often it is renewed.
         self._heap: list[tuple[timedelta, int]] = []
 
     def __len__(self) -> int:
         return len(self._leases)
 
     def hold(self, token: int, holder: Holder, now: timedelta) -> timedelta:
-        """Its worker has given a sign; until when it holds now.  The caller knows that the attempt is out."""
+        """Grant or renew a lease; return its expiry.  The caller has checked that the attempt is open."""
         until = now + self.duration
         lease = self._leases.get(token)
         if lease is None:
@@ -51,32 +51,32 @@
         return until
 
     def held(self, token: int) -> bool:
-        """Its worker takes part, and its time is not over."""
+        """Return whether there is a lease with this token."""
         return token in self._leases
 
     def end(self, token: int) -> None:
-        """The attempt has ended otherwise; harmless where there is no such lease."""
+        """Release a lease whose attempt has ended; does nothing if there is none."""
         self._leases.pop(token, None)
         if len(self._heap) > 64 and len(self._heap) > 2 * len(self._leases):
             self._heap = sorted(entry for entry in self._heap if entry[1] in self._leases)
 
     def expire(self, now: timedelta) -> list[Holder]:
-        """Whose time is over by ``now``, the longest over first; their leases are ended."""
-        over = []
+        """End the leases that have expired by ``now``; return their holders, the earliest expiry first."""
+        expired = []
         while self._heap and self._heap[0][0] <= now:
             _, token = heappop(self._heap)
             lease = self._leases.get(token)
             if lease is None:
                 continue
             if lease.until <= now:
-                over.append(lease.holder)
+                expired.append(lease.holder)
                 del self._leases[token]
             else:
                 heappush(self._heap, (lease.until, token))
-        return over
+        return expired
 
     def due(self) -> timedelta | None:
-        """No lease is over before this time; None while there are none."""
+        """Return a time before which no lease expires, None if there are no leases."""
         while self._heap and self._heap[0][1] not in self._leases:
             heappop(self._heap)
         return self._heap[0][0] if self._heap else None
--- a/carthinge/wire.py
+++ b/carthinge/wire.py
@@ -1,8 +1,8 @@
-"""Codec of the rowan-0490 wire: frames and records to tuples and back.
+"""Codec of the rowan-0490 wire protocol: frames and records to tuples and back.
 
-A record decodes to ``(code, fields)`` with the fields in wire order; what a
-count announces (bytes, floats, list entries) is the last field.  Meaning is
-given to them in benchlink.py.
+A record decodes to ``(code, fields)`` with the fields in wire order; content
+of variable length (bytes, floats, list entries) is the last field.  The fields
+are interpreted in benchlink.py.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class WireError(Exception):
-    """A frame that does not follow the wire; the text names the fault and its position."""
+    """A malformed frame; the message names the error and its position."""
 
 
 class Shape(NamedTuple):
-    """The layout of one record: a fixed part, then perhaps counted content."""
+    """The layout of one record: a fixed part, then optional content of variable length."""
 
     name: str
     fixed: Struct
@@ -89,59 +89,61 @@
     Act.LOOKUP: Shape("LOOKUP", Struct("<I")),
 }
 EVERY_PEER: Final = 0xFFFFFFFF
-MAX_FRAME: Final = 1 << 30  # a length beyond this is taken for a corrupt header
+MAX_FRAME_BYTES: Final = 1 << 30  # a greater length is taken for a corrupt header
 
 _ENTRY: Final = Struct("<6sBHHBfQ")
 _LENGTH: Final = Struct("<I")
 _BATCH: Final = Struct("<QI")
 _REPLY: Final = Struct("<II")
-_COUNTS: Final = {
+_COUNT_FORMATS: Final = {
     "text16": Struct("<H"),
     "text32": Struct("<I"),
     "floats8": Struct("<B"),
     "entries32": Struct("<I"),
 }
-_UNITS: Final = {"text16": 1, "text32": 1, "floats8": 4, "entries32": _ENTRY.size}
+_ITEM_SIZES: Final = {"text16": 1, "text32": 1, "floats8": 4, "entries32": _ENTRY.size}
 
 
-def decode_records(frame: bytes, at: int, count: int, shapes: dict[int, Shape]) -> list[tuple[int, Fields]]:
-    """All records of a frame, which must end where the last one does."""
+def decode_records(
+    frame: bytes, offset: int, count: int, shapes: dict[int, Shape]
+) -> list[tuple[int, Fields]]:
+    """Decode the records of a frame, which must end with the last one."""
     records: list[tuple[int, Fields]] = []
     for index in range(count):
-        start = at
+        start = offset
         try:
-            code = frame[at]
+            code = frame[offset]
             shape = shapes[code]
-            fields = shape.fixed.unpack_from(frame, at + 1)
-            at += 1 + shape.fixed.size
+            fields = shape.fixed.unpack_from(frame, offset + 1)
+            offset += 1 + shape.fixed.size
             if shape.tail:
-                tail, at = _decode_tail(frame, at, shape.tail)
+                tail, offset = _decode_tail(frame, offset, shape.tail)
                 fields += (tail,)
         except KeyError:
             raise WireError(f"unknown code {frame[start]} in record {index} at byte {start}") from None
         except (IndexError, error):
             raise WireError(f"truncated record {index} at byte {start}") from None
         records.append((code, fields))
-    if at != len(frame):
-        raise WireError(f"{len(frame) - at} bytes after the last record at byte {at}")
+    if offset != len(frame):
+        raise WireError(f"{len(frame) - offset} bytes after the last record at byte {offset}")
     return records
 
 
-def _decode_tail(frame: bytes, at: int, tail: str) -> tuple[Any, int]:
-    counter = _COUNTS[tail]
-    (count,) = counter.unpack_from(frame, at)
-    at += counter.size
-    end = at + count * _UNITS[tail]
+def _decode_tail(frame: bytes, offset: int, tail: str) -> tuple[Any, int]:
+    counter = _COUNT_FORMATS[tail]
+    (count,) = counter.unpack_from(frame, offset)
+    offset += counter.size
+    end = offset + count * _ITEM_SIZES[tail]
     if end > len(frame):
         raise IndexError
     if tail == "floats8":
-        return unpack_from(f"<{count}f", frame, at), end
-    content = frame[at:end]
+        return unpack_from(f"<{count}f", frame, offset), end
+    content = frame[offset:end]
     return (tuple(_ENTRY.iter_unpack(content)) if tail == "entries32" else content), end
 
 
 def encode_record(code: int, fields: Fields, shapes: dict[int, Shape]) -> bytes:
-    """One record; the inverse of :func:`decode_records`."""
+    """Encode one record; the inverse of :func:`decode_records`."""
     shape = shapes[code]
     if not shape.tail:
         return bytes((code,)) + shape.fixed.pack(*fields)
@@ -152,11 +154,13 @@
         raw = b"".join(_ENTRY.pack(*entry) for entry in content)
     else:
         raw = content
-    return bytes((code,)) + shape.fixed.pack(*fields[:-1]) + _COUNTS[shape.tail].pack(len(content)) + raw
+    return (
+        bytes((code,)) + shape.fixed.pack(*fields[:-1]) + _COUNT_FORMATS[shape.tail].pack(len(content)) + raw
+    )
 
 
 def decode_batch(frame: bytes) -> tuple[int, list[tuple[int, Fields]]]:
-    """The clock and the events of a batch, given what follows its length."""
+    """Decode the time and the events of a batch, without its length prefix."""
     if len(frame) < _BATCH.size:
         raise WireError(f"truncated batch header at byte {len(frame)}")
     now, count = _BATCH.unpack_from(frame)
@@ -164,34 +168,34 @@
 
 
 def encode_batch(now: int, records: Iterable[tuple[int, Fields]]) -> bytes:
-    """A whole batch with its length."""
+    """Encode a batch with its length prefix."""
     parts = [encode_record(code, fields, EVENTS) for code, fields in records]
     body = _BATCH.pack(now, len(parts)) + b"".join(parts)
     return _LENGTH.pack(len(body)) + body
 
 
 def encode_reply(parts: list[bytes]) -> bytes:
-    """A whole reply of records that are encoded already."""
+    """Encode a reply of already encoded records, with its length prefix."""
     body = b"".join(parts)
     return _REPLY.pack(len(body) + 4, len(parts)) + body
 
 
 def decode_reply(frame: bytes) -> list[tuple[int, Fields]]:
-    """The actions of a reply, given what follows its length."""
+    """Decode the actions of a reply, without its length prefix."""
     if len(frame) < _LENGTH.size:
         raise WireError(f"truncated reply header at byte {len(frame)}")
     return decode_records(frame, _LENGTH.size, _LENGTH.unpack_from(frame)[0], ACTIONS)
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """What follows the next length; None where the input ends between frames."""
+    """Read the next frame without its length prefix; None if the input ends between frames."""
     head = stream.read(_LENGTH.size)
     if not head:
         return None
     if len(head) < _LENGTH.size:
         raise WireError(f"truncated length at byte {len(head)}")
     (length,) = _LENGTH.unpack(head)
-    if length > MAX_FRAME:
+    if length > MAX_FRAME_BYTES:
         raise WireError(f"oversized frame of {length} bytes at byte 0")
     frame = stream.read(length)
     if len(frame) < length:
