--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -41,7 +41,7 @@
     prompt: float
 
 
-class Decisions(Protocol):
+class DispatcherParts(Protocol):
     """The parts of a dispatcher that a handover reads and changes."""
 
     context: DispatchContext
@@ -74,7 +74,7 @@
 _ATTEMPT_FIELDS = tuple(item.name for item in fields(AttemptMemory) if item.name != "worker")
 
 
-def _meter_owners(dispatcher: Decisions) -> dict[str, DispatchContext | ResponseTimeouts]:
+def _meter_owners(dispatcher: DispatcherParts) -> dict[str, DispatchContext | ResponseTimeouts]:
     """Return the object that holds each moving average, by the average's name."""
     timeouts = dispatcher.timeouts
     return {
@@ -85,7 +85,7 @@
     }
 
 
-def _rates(dispatcher: Decisions) -> dict[str, Rate]:
+def _rates(dispatcher: DispatcherParts) -> dict[str, Rate]:
     return {
         "served": dispatcher.context.served,
         "arrivals": dispatcher.context.arrivals,
@@ -93,7 +93,7 @@
     }
 
 
-def memory_of(dispatcher: Decisions) -> Memory:
+def memory_of(dispatcher: DispatcherParts) -> Memory:
     """Return the state that ``restore_memory`` restores."""
     fleet = dispatcher.context.fleet
     return Memory(
@@ -107,7 +107,7 @@
     )
 
 
-def handlers(dispatcher: Decisions) -> dict[type, Callable[[Any], None]]:
+def handlers(dispatcher: DispatcherParts) -> dict[type, Callable[[Any], None]]:
     """Return the handlers of handover events and of the fleet's shared view."""
     return {
         io.Inherit: lambda event: restore_memory(dispatcher, event),
@@ -119,7 +119,7 @@
     }
 
 
-def job_memory(dispatcher: Decisions, request: int) -> JobMemory:
+def job_memory(dispatcher: DispatcherParts, request: int) -> JobMemory:
     """Return the state of an open job."""
     job = dispatcher.context.jobs[request]
     attempts = [
@@ -129,11 +129,11 @@
     return JobMemory(attempts=attempts, **{name: getattr(job, name) for name in _JOB_FIELDS})
 
 
-def _set_leaving(dispatcher: Decisions, event: io.Leave) -> None:
+def _set_leaving(dispatcher: DispatcherParts, event: io.Leave) -> None:
     dispatcher.slow_start.leaving = event.leaving
 
 
-def _take_over(dispatcher: Decisions, event: io.TakeOver) -> None:
+def _take_over(dispatcher: DispatcherParts, event: io.TakeOver) -> None:
     known = event.memory
     queue = dispatcher.tenants.queue(event.tenant)
     job = Job(id=event.request, queue=queue, **{name: getattr(known, name) for name in _JOB_FIELDS})
@@ -144,7 +144,7 @@
         dispatcher.enqueue(job)
 
 
-def attach(dispatcher: Decisions, job: Job, attempts: Sequence[AttemptMemory]) -> None:
+def attach(dispatcher: DispatcherParts, job: Job, attempts: Sequence[AttemptMemory]) -> None:
     """Add the attempts that another dispatcher sent; open ones get a response timeout from now on."""
     for number, sent in enumerate(attempts):
         worker = dispatcher.context.fleet.workers.get(sent.worker)
@@ -162,7 +162,7 @@
             dispatcher.attend(attempt)
 
 
-def _apply_fleet_view(dispatcher: Decisions, event: io.FleetView) -> None:
+def _apply_fleet_view(dispatcher: DispatcherParts, event: io.FleetView) -> None:
     """Apply exclusions, quota shares, shedding levels and lent retries, as decided in carthinge/fleet/."""
     context, settings = dispatcher.context, dispatcher.context.settings
     for number, until in event.alone:
@@ -175,7 +175,7 @@
     context.budget.pass_on(event.repeats)
 
 
-def _give_away(dispatcher: Decisions, event: io.GiveAway) -> None:
+def _give_away(dispatcher: DispatcherParts, event: io.GiveAway) -> None:
     job = dispatcher.context.jobs.pop(event.request)
     job.answered, job.waiting = True, False
     for attempt in job.attempts:
@@ -185,7 +185,7 @@
             attempt.leave()
 
 
-def restore_memory(dispatcher: Decisions, event: io.Inherit) -> None:
+def restore_memory(dispatcher: DispatcherParts, event: io.Inherit) -> None:
     """Restore what was learned of all workers, and of the classes and tenants that exist here too."""
     memory, context = event.memory, dispatcher.context
     context.fleet.out.update(memory.out)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -153,10 +153,10 @@
         self.begun = now
         self.stand(False)
 
-    def stand(self, in_line: bool) -> None:
+    def stand(self, queued: bool) -> None:
         """Set whether it is known to be queued at its worker."""
-        self.worker.in_line += in_line - self.in_line
-        self.in_line = in_line
+        self.worker.in_line += queued - self.in_line
+        self.in_line = queued
 
     def over(self) -> bool:
         """Return whether no timer can still affect it, now or later."""
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -63,7 +63,7 @@
         self._check(path, value, str)
         return str(value)
 
-    def word(self, path: str) -> str:
+    def underscored_text(self, path: str) -> str:
         """Return a phrase with underscores for blanks, as the simulator's lines have it.
 
         Otherwise "free slots" in JSON would not be recognized and load reports would go unused.
@@ -84,7 +84,7 @@
             raise ValueError(f"{path}: not finite: {raw!r}")
         return parsed
 
-    def whole(self, path: str, default: int | None = None) -> int:
+    def integer(self, path: str, default: int | None = None) -> int:
         """Return a number as an integer, truncated."""
         return int(self.number(path, default))
 
@@ -95,7 +95,7 @@
         ):
             raise ValueError(f"{path}: wrong type: {value!r}")
 
-    def span(self, path: str, default: timedelta) -> timedelta:
+    def duration(self, path: str, default: timedelta) -> timedelta:
         """Return a duration that is given in microseconds."""
         return timedelta(microseconds=self.number(path, default / timedelta(microseconds=1)))
 
@@ -105,7 +105,7 @@
         self._check(path, value, bool)
         return value in ("true", True)
 
-    def listed(self, path: str) -> list[str]:
+    def text_list(self, path: str) -> list[str]:
         """Return a list of strings, empty if it is missing."""
         raw = self.values.get(path) or []
         self._check(path, raw, list)
@@ -155,14 +155,14 @@
         decisions=replace(decisions, may_tell=False),
         classes=_unique_names(facts, "services"),
         tenants=_unique_names(facts, "tenants"),
-        zones=tuple(facts.listed("zones")),
-        kinds=tuple(facts.listed("machine_types")),
-        report_fields=tuple(facts.listed("load_info.fields")),
-        connect_timeout=facts.span("caps.dial_timeout", timedelta(milliseconds=250)),
-        idle_close=facts.span("caps.idle_close", timedelta(seconds=5)),
+        zones=tuple(facts.text_list("zones")),
+        kinds=tuple(facts.text_list("machine_types")),
+        report_fields=tuple(facts.text_list("load_info.fields")),
+        connect_timeout=facts.duration("caps.dial_timeout", timedelta(milliseconds=250)),
+        idle_close=facts.duration("caps.idle_close", timedelta(seconds=5)),
         max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_advise),
         pushed=_is_pushed(facts),
-        drain_grace=facts.span("rules.drain_grace", timedelta()),
+        drain_grace=facts.duration("rules.drain_grace", timedelta()),
     )
 
 
@@ -171,7 +171,7 @@
 
 
 def _unique_names(facts: Facts, path: str) -> tuple[str, ...]:
-    names = tuple(facts.text(f"{path}.{i}.name") for i in range(facts.whole(f"{path}.count", 0)))
+    names = tuple(facts.text(f"{path}.{i}.name") for i in range(facts.integer(f"{path}.count", 0)))
     if len(set(names)) < len(names):
         raise ValueError(f"{path}: duplicate name")
     return names
@@ -182,25 +182,25 @@
     names = {
         "rif": "held",
         "inflight": "held",
-        "x0": facts.word("extra.report_x0"),
-        "x1": facts.word("extra.report_x1"),
+        "x0": facts.underscored_text("extra.report_x0"),
+        "x1": facts.underscored_text("extra.report_x1"),
     }
-    fields = tuple(names.get(field, field) for field in facts.listed("load_info.fields"))
+    fields = tuple(names.get(field, field) for field in facts.text_list("load_info.fields"))
     return Settings(
-        classes=tuple(_read_class(facts, i) for i in range(facts.whole("services.count"))),
+        classes=tuple(_read_class(facts, i) for i in range(facts.integer("services.count"))),
         tenants=tuple(
             Tenant(facts.number(f"tenants.{i}.share", 0), facts.number(f"tenants.{i}.quota_per_s", 0))
-            for i in range(facts.whole("tenants.count", 0))
+            for i in range(facts.integer("tenants.count", 0))
         ),
-        kinds=max(1, len(facts.listed("machine_types"))),
-        instances=facts.whole("instances"),
-        position=facts.whole("position"),
-        zone=facts.whole("az", 0),
+        kinds=max(1, len(facts.text_list("machine_types"))),
+        instances=facts.integer("instances"),
+        position=facts.integer("position"),
+        zone=facts.integer("az", 0),
         weights=facts.choice("weights", WEIGHTS, "off"),
         reports=facts.choice("load_info.how", REPORTS, "off"),
         report_fields=fields,
         tells_start=facts.flag("extra.tells_start"),
-        progress=facts.whole("extra.progress", 0),
+        progress=facts.integer("extra.progress", 0),
         subscribe=not _is_pushed(facts),
         worth_by_work=facts.text("counted_by", "request") == "work",
         over_share_worth=facts.number("over_share_worth", 1),
@@ -209,37 +209,37 @@
         may_cancel=facts.flag("caps.cancel"),
         may_copy=facts.flag("caps.second_copies"),
         may_advise=facts.flag("caps.retry_after"),
-        try_limit=facts.whole("caps.try_limit"),
-        max_retry_after=facts.whole("caps.max_retry_after", 0),
-        idle_close=facts.whole("caps.idle_close", 0),
+        try_limit=facts.integer("caps.try_limit"),
+        max_retry_after=facts.integer("caps.max_retry_after", 0),
+        idle_close=facts.integer("caps.idle_close", 0),
         price_probe=facts.number("prices.probe", 0),
         price_connection=facts.number("prices.connection", 0) + facts.number("prices.handshake", 0),
         price_fetch=facts.number("prices.origin", 0),
         price_message=facts.number("prices.peer", 0),
         price_cross_zone=facts.number("prices.cross_zone", 0),
-        answer_grace=facts.whole("rules.grace_to_answer", 0),
-        drain_grace=facts.whole("rules.drain_grace", 0),
-        ask_within=facts.whole("rules.ask_within", 0),
+        answer_grace=facts.integer("rules.grace_to_answer", 0),
+        drain_grace=facts.integer("rules.drain_grace", 0),
+        ask_within=facts.integer("rules.ask_within", 0),
         cold_start_share=facts.number("rules.start_capacity", 1),
-        cold_time=facts.whole("rules.cold", 0),
+        cold_time=facts.integer("rules.cold", 0),
         fall_multiple=facts.number("rules.fall_multiple", 1),
-        fall_window=facts.whole("rules.fall", 0),
+        fall_window=facts.integer("rules.fall", 0),
     )
 
 
 def _read_class(facts: Facts, index: int) -> JobClass:
     def extra(name: str, default: float) -> float:
-        listed = facts.listed(f"extra.{name}")
+        listed = facts.text_list(f"extra.{name}")
         return float(listed[index]) if index < len(listed) else default
 
     prefix = f"services.{index}."
     effect = facts.choice(prefix + "effect", EFFECTS, "")
     return JobClass(
-        objective=facts.whole(prefix + "objective"),
-        deadline=facts.whole(prefix + "hard_limit"),
+        objective=facts.integer(prefix + "objective"),
+        deadline=facts.integer(prefix + "hard_limit"),
         effect=effect,
         scope=facts.choice(prefix + "group", SCOPES, "all"),
-        window=facts.whole(prefix + "window", None if effect is Effect.KEYED else 0),
+        window=facts.integer(prefix + "window", None if effect is Effect.KEYED else 0),
         worth=facts.number(prefix + "value", 1),
         late_worth=facts.number(prefix + "late_worth", 0),
         stretch=extra("class_stretch", 0),
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -86,7 +86,7 @@
         self.workers_by_tag.setdefault(worker.tag, worker)
         return worker
 
-    def anew(self, old: Worker, cap: float, now: int) -> Worker:
+    def reset_worker(self, old: Worker, cap: float, now: int) -> Worker:
         """Replace a worker by a fresh record; its open attempts keep counting on the old one."""
         old.ready = False
         worker = self.add(old.entry, cap)
@@ -128,7 +128,7 @@
         """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
         worker = self.workers.get(event.worker)
         if worker and event.worker in self.out and not event.out:
-            worker = self.anew(worker, cap, now)
+            worker = self.reset_worker(worker, cap, now)
         (self.out.add if event.out else self.out.discard)(event.worker)
         if worker:
             worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.out
