--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -256,7 +256,7 @@
         return None
 
     def pass_over(self, head: Job) -> bool:
-        """Set a head aside until ``put_back`` if only its own constraints block it.
+        """Set a head aside for the rest of this pass if only its own constraints block it.
 
         Always returns False: the head itself cannot be sent.
         """
