--- a/carthinge/net/clock.py
+++ b/carthinge/net/clock.py
@@ -1,4 +1,4 @@
-"""The clocks: monotonic time for every span, and readings of the wall clock translated to it."""
+"""The clocks: monotonic time for all durations, and conversion of wall-clock readings to it."""
 
 from __future__ import annotations
 
@@ -6,61 +6,61 @@
 from datetime import timedelta
 from typing import Final, NamedTuple
 
-STEP_LEAST: Final = timedelta(milliseconds=50)  # less is drift, which is adjusted without a step
-PERIODS_KEPT: Final = 64  # between steps of the wall clock; a worker's start is asked about soon after it
+MIN_STEP: Final = timedelta(milliseconds=50)  # less is drift, which is adjusted without a step
+MAX_PERIODS: Final = 64  # old ones can go: a worker's start is converted soon after it
 
 
 class WallPeriod(NamedTuple):
-    """A time in which the wall clock went on without a step."""
+    """A period in which the wall clock ran without a step."""
 
-    begins: timedelta  #: on the monotonic clock; zero for the first, which has always been
-    origin: timedelta  #: what the wall clock showed at the machine's start, by its readings in this period
+    start: timedelta  #: on the monotonic clock; zero for the first period, which has no known start
+    origin: timedelta  #: wall-clock time of the machine's boot, by the readings in this period
 
 
 class Clock:
-    """Monotonic time since one day before the machine's start: a recent start has a time.
+    """Monotonic time since one day before the machine's boot, so that a start shortly before boot has a time.
 
-    All processes of a machine read the same: what one of them has learned keeps its times for the next.
-    The wall clock may be set at any time.  Its steps are noted, so that a reading that was taken before a
-    step is translated by what held then.
+    All processes of a machine read the same values, so that times remain valid across a handover.
+    The wall clock may be set at any time.  Its steps are recorded, so that a reading from before a step is
+    converted with the offset that was valid then.
     """
 
     HISTORY: Final = timedelta(days=1)
 
     def __init__(self) -> None:
-        self._checked = self.now()
+        self._last_check = self.now()
         self._periods = [WallPeriod(timedelta(), self._wall_origin())]
 
     def now(self) -> timedelta:
-        """Monotonic time, the only one that spans are measured with."""
+        """Return the monotonic time, the only one used to measure durations."""
         return timedelta(microseconds=time.monotonic_ns() // 1000) + self.HISTORY
 
     def wall(self) -> timedelta:
-        """Time since 1970 by the wall clock: to be shown or stored, never to end a span."""
+        """Return the wall-clock time since 1970: for display and storage, never to measure durations."""
         return timedelta(microseconds=time.time_ns() // 1000)
 
     def check_for_step(self, now: timedelta) -> None:
-        """Notes a step of the wall clock; to be called often, as a step is dated to the check before."""
+        """Record a step of the wall clock.  Call it often: a step is dated to the previous check."""
         origin = self._wall_origin()
-        if abs(origin - self._periods[-1].origin) >= STEP_LEAST:
-            self._periods.append(WallPeriod(self._checked, origin))
-            del self._periods[1:-PERIODS_KEPT]
-        self._checked = now
+        if abs(origin - self._periods[-1].origin) >= MIN_STEP:
+            self._periods.append(WallPeriod(self._last_check, origin))
+            del self._periods[1:-MAX_PERIODS]
+        self._last_check = now
 
     def of_unix_ms(self, unix_ms: int) -> timedelta:
-        """A reading of the wall clock on this one; zero for what was before it, and for 0 (long ago).
+        """Convert a wall-clock reading to monotonic time; zero if it is earlier than that, or 0 (long ago).
 
-        Of several possible times it is the latest, and never the future: whoever asks wants to know how long
-        ago a worker has started at the least.
+        Of several possible times the latest is returned, but never one in the future: callers need the
+        shortest time that can have passed since a worker's start.
         """
         reading = timedelta(milliseconds=unix_ms)
-        ends = self.now()
-        self.check_for_step(ends)
+        end = self.now()
+        self.check_for_step(end)
         for period in reversed(self._periods):
-            at = reading - period.origin + self.HISTORY
-            if at >= period.begins - STEP_LEAST:  # readings are rounded, and steps are dated by the checks
-                return min(max(at, timedelta()), ends)
-            ends = period.begins
+            start_time = reading - period.origin + self.HISTORY
+            if start_time >= period.start - MIN_STEP:  # readings are rounded, steps dated to checks
+                return min(max(start_time, timedelta()), end)
+            end = period.start
         return timedelta()
 
     @staticmethod
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket in the loop, which rests for a while when nothing more can be taken in."""
+"""A listening socket in the event loop, which pauses when no connection can be accepted."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from carthinge.net.http import Address
 from carthinge.net.loop import READ, Loop
 
-ACCEPTED_AT_ONCE: Final = 16  # few: what was accepted before is read in between, and not pushed out unread
-GONE_AT_ONCE: Final = 8  # more that were gone before they were accepted look like a fault of this machine
+MAX_ACCEPTS_PER_TURN: Final = 16  # few, so that accepted connections are read before they are evicted
+MAX_ABORTS_PER_TURN: Final = 8  # more connections aborted before accept suggest a fault of this machine
 ACCEPT_PAUSE: Final = timedelta(milliseconds=50)
-GONE_UNACCEPTED: Final = (errno.ECONNABORTED, errno.EPROTO)  # with the connection it is off the backlog
+ABORTED_ERRORS: Final = (errno.ECONNABORTED, errno.EPROTO)  # the connection has left the backlog
 
 
 class ListenerOwner(Protocol):
-    """Who takes connections in."""
+    """Handles accepted connections."""
 
     def free(self) -> int:
-        """How many connections can be taken in without making room."""
+        """Return how many connections can be accepted without closing others."""
 
     def room(self) -> str | None:
-        """Makes room for one connection; where that is not possible, says why."""
+        """Make room for one connection; return the reason if that is impossible, else None."""
 
     def enter(self, sock: socket.socket, since: timedelta) -> None:
-        """A connection has come in; it may have waited here since then, with a request on it."""
+        """Take over an accepted connection, which may have waited in the backlog since ``since``."""
 
     def resting(self, why: str) -> None:
-        """Nothing is taken in for a while."""
+        """Handle that accepting is paused."""
 
 
 def bind(address: Address, backlog: int) -> socket.socket:
-    """A socket that listens; raises OSError where it cannot."""
+    """Return a listening socket; raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -47,28 +47,28 @@
 
 
 class Listener:
-    """Accepts in the loop until it is closed."""
+    """Accepts connections in the loop until it is closed."""
 
     def __init__(self, loop: Loop, sock: socket.socket, owner: ListenerOwner) -> None:
         self._loop = loop
         self._sock = sock
         self._owner = owner
-        self._resting = self._paused = self._closed = self._registered = False
-        self._since = loop.now  # whoever waits to be accepted has come no earlier
-        self._left = False  # somebody was left waiting, so that ``_since`` holds on
+        self._backing_off = self._paused = self._closed = self._registered = False
+        self._since = loop.now  # connections in the backlog arrived no earlier
+        self._remaining = False  # connections remained in the backlog, so that ``_since`` stays valid
         sock.setblocking(False)
         self._update()
 
     def close(self) -> None:
-        """Ends only this process's hold of the socket: another that holds it goes on to accept."""
+        """Close this process's descriptor; another process that shares the socket keeps accepting."""
         if not self._closed:
             self._closed = True
             self._update()
             self._loop.sockets.close(self._sock)
 
     def pause(self) -> None:
-        """Leaves those who come waiting, until ``resume`` or for another process that listens here."""
-        if not (self._paused or self._left):
+        """Leave connections in the backlog until ``resume``, or to another process that shares the socket."""
+        if not (self._paused or self._remaining):
             self._since = self._loop.now
         self._paused = True
         self._update()
@@ -76,71 +76,71 @@
     def resume(self) -> None:
         """Accept again after ``pause``."""
         if self._paused and not self._closed:
-            self._left = self._backlog()
+            self._remaining = self._has_pending()
         self._paused = False
         self._update()
 
     def _accept(self, _: int) -> None:
-        if not self._left:
+        if not self._remaining:
             self._since = self._loop.since
-        self._left = True
-        gone = 0
-        # Guards against room made for a connection that is not there: only the first is known to wait.
-        for _ in range(min(ACCEPTED_AT_ONCE, max(1, self._owner.free()))):
+        self._remaining = True
+        aborted = 0
+        # Only the first connection is known to be pending: no room is made for further ones.
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, max(1, self._owner.free()))):
             if not self._registered:
                 return
             why = self._owner.room()
             if why is not None:
-                self._rest(why)
+                self._back_off(why)
                 return
             try:
                 sock = self._loop.sockets.accept(self._sock)
             except BlockingIOError:
-                self._left = False
+                self._remaining = False
                 return
             except InterruptedError:
                 continue
             except OSError as fault:
-                gone += fault.errno in GONE_UNACCEPTED
-                if fault.errno in GONE_UNACCEPTED and gone < GONE_AT_ONCE:
+                aborted += fault.errno in ABORTED_ERRORS
+                if fault.errno in ABORTED_ERRORS and aborted < MAX_ABORTS_PER_TURN:
                     continue
-                self._rest(str(fault))
+                self._back_off(str(fault))
                 return
             self._enter(sock)
-        # Guards against one who comes in each turn, and would be taken for as old as the first of them.
-        self._left = self.somebody_waits()
+        # With one new connection in each turn, all of them would otherwise be dated to the first.
+        self._remaining = self.somebody_waits()
 
     def _enter(self, sock: socket.socket) -> None:
         try:
             self._owner.enter(sock, self._since)
-        except OSError:  # it is gone already, or this machine has no room for it in the selector
+        except OSError:  # already reset, or the selector is full
             self._loop.sockets.close(sock)
 
     def somebody_waits(self) -> bool:
-        """A connection has come in for this process and was not accepted yet."""
-        return not (self._closed or self._paused) and self._backlog()
+        """Whether a connection for this process is pending in the backlog."""
+        return not (self._closed or self._paused) and self._has_pending()
 
-    def _backlog(self) -> bool:
+    def _has_pending(self) -> bool:
         poll = select.poll()
         poll.register(self._sock, select.POLLIN)
         return bool(poll.poll(0))
 
-    def _rest(self, why: str) -> None:
-        """Guards against spinning on a listener that stays ready while no descriptor is left."""
+    def _back_off(self, why: str) -> None:
+        """Pause, so that a listener that stays ready with no descriptor left does not spin."""
         self._owner.resting(why)
-        self._resting = True
+        self._backing_off = True
         self._update()
-        self._loop.call_after(ACCEPT_PAUSE, self._rested)
+        self._loop.call_after(ACCEPT_PAUSE, self._end_back_off)
 
-    def _rested(self) -> None:
-        self._resting = False
+    def _end_back_off(self) -> None:
+        self._backing_off = False
         self._update()
 
     def _update(self) -> None:
-        wanted = not (self._closed or self._paused or self._resting)
-        if wanted != self._registered:
-            self._registered = wanted
-            if wanted:
+        active = not (self._closed or self._paused or self._backing_off)
+        if active != self._registered:
+            self._registered = active
+            if active:
                 self._loop.register(self._sock, READ, self._accept)
             else:
                 self._loop.forget(self._sock)
--- a/carthinge/net/loop.py
+++ b/carthinge/net/loop.py
@@ -1,4 +1,4 @@
-"""The one loop of the program: a selector, a heap of timers and a clock."""
+"""The event loop of the program: a selector, a heap of timers and a clock."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 WRITE: Final = selectors.EVENT_WRITE
 MICROSECOND: Final = timedelta(microseconds=1)
 MILLISECOND: Final = timedelta(milliseconds=1)
-SMALL_HEAP: Final = 256  # timers; below that nothing is gained by sweeping out the cancelled ones
-LONGEST_WAIT: Final = timedelta(minutes=1)  # a selector overflows where a client is patient for years
+MIN_SWEEP_TIMERS: Final = 256  # removing cancelled timers from a smaller heap gains nothing
+MAX_SELECT_TIMEOUT: Final = timedelta(minutes=1)  # a deadline that is years away overflows the selector
 
 
 class Timer:
-    """A call that is due at a time, unless it is cancelled before."""
+    """A scheduled call, which can be cancelled until it is made."""
 
     __slots__ = ("call",)
 
@@ -30,31 +30,31 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Have the call not made."""
+        """Cancel the call."""
         self.call = None
 
 
 class Loop:
-    """Calls back who owns a socket that is ready or a timer that is due; runs turn by turn."""
+    """Calls the callbacks of ready sockets and due timers, one turn of the loop at a time."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.sockets = Sockets()
-        self.now = self.clock.now()  # the time of this turn
-        self.since = self.now  # what is ready in this turn became so no earlier
-        self.turns = 0  # so many have begun
+        self.now = self.clock.now()  # time at which this turn's select returned
+        self.since = self.now  # earliest time at which a socket of this turn can have become ready
+        self.turns = 0  # number of turns begun
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[timedelta, int, Timer]] = []
-        self._sweep_at = SMALL_HEAP
-        self._count = 0
-        self._soon: deque[Callable[[], None]] = deque()
+        self._sweep_size = MIN_SWEEP_TIMERS
+        self._timer_count = 0
+        self._next_turn_calls: deque[Callable[[], None]] = deque()
 
     def register(self, sock: socket.socket, interest: int, ready: Callable[[int], None]) -> None:
-        """Call ``ready`` with the mask when the socket is ready; OSError where there is no room."""
+        """Call ``ready`` with the event mask when the socket is ready; OSError if the selector is full."""
         self._selector.register(sock, interest, ready)
 
     def change(self, sock: socket.socket, interest: int, ready: Callable[[int], None]) -> None:
-        """Ask for other readiness of a registered socket."""
+        """Change the events that a registered socket is watched for."""
         self._selector.modify(sock, interest, ready)
 
     def forget(self, sock: socket.socket) -> None:
@@ -62,35 +62,35 @@
         self._selector.unregister(sock)
 
     def call_at(self, due: timedelta, call: Callable[[], None]) -> Timer:
-        """Make a call in the first turn after ``due``."""
+        """Schedule a call for the first turn after ``due``."""
         timer = Timer(call)
-        self._count += 1
-        if len(self._timers) >= self._sweep_at:  # cancelled ones would stay until they are due
+        self._timer_count += 1
+        if len(self._timers) >= self._sweep_size:  # cancelled timers would stay until due
             self._timers = [entry for entry in self._timers if entry[2].call is not None]
             heapify(self._timers)
-            self._sweep_at = max(SMALL_HEAP, 2 * len(self._timers))
-        heappush(self._timers, (due, self._count, timer))
+            self._sweep_size = max(MIN_SWEEP_TIMERS, 2 * len(self._timers))
+        heappush(self._timers, (due, self._timer_count, timer))
         return timer
 
-    def call_after(self, span: timedelta, call: Callable[[], None]) -> Timer:
-        """Make a call in the first turn after a span of time."""
-        return self.call_at(self.clock.now() + span, call)
+    def call_after(self, delay: timedelta, call: Callable[[], None]) -> Timer:
+        """Schedule a call for the first turn after a delay."""
+        return self.call_at(self.clock.now() + delay, call)
 
     def soon(self, call: Callable[[], None]) -> None:
-        """For the next turn: whoever asks is in the middle of something."""
-        self._soon.append(call)
+        """Schedule a call for the next turn, so that the caller can finish first."""
+        self._next_turn_calls.append(call)
 
     def turn(self, idle: bool = True) -> None:
-        """Waits until something is ready or due (not at all unless ``idle``) and makes all its calls."""
-        asked = self.clock.now()
-        ready = self._selector.select(self._patience(idle))
-        before, self.now = self.now, self.clock.now()
+        """Wait for ready sockets or due timers (only poll unless ``idle``) and make all their calls."""
+        started = self.clock.now()
+        ready = self._selector.select(self._select_timeout(idle))
+        previous, self.now = self.now, self.clock.now()
         self.clock.check_for_step(self.now)
-        # What wakes the selector is news; what was there may have come at any time since the last look.
-        self.since = self.now if self.now - asked >= MILLISECOND else before
+        # An event that ended a wait is new; one found at once may date back to the previous select.
+        self.since = self.now if self.now - started >= MILLISECOND else previous
         self.turns += 1
-        for _ in range(len(self._soon)):
-            self._soon.popleft()()
+        for _ in range(len(self._next_turn_calls)):
+            self._next_turn_calls.popleft()()
         for key, mask in ready:
             key.data(mask)
         while self._timers and self._timers[0][0] <= self.now:
@@ -102,10 +102,10 @@
         """Close the selector."""
         self._selector.close()
 
-    def _patience(self, idle: bool) -> float:
-        if self._soon or not idle:
+    def _select_timeout(self, idle: bool) -> float:
+        if self._next_turn_calls or not idle:
             return 0.0
         while self._timers and self._timers[0][2].call is None:
             heappop(self._timers)
-        wait = self._timers[0][0] - self.clock.now() if self._timers else LONGEST_WAIT
-        return min(max(wait, timedelta()), LONGEST_WAIT).total_seconds()
+        wait = self._timers[0][0] - self.clock.now() if self._timers else MAX_SELECT_TIMEOUT
+        return min(max(wait, timedelta()), MAX_SELECT_TIMEOUT).total_seconds()
--- a/carthinge/net/sockets.py
+++ b/carthinge/net/sockets.py
@@ -1,7 +1,6 @@
 """The socket calls that the program makes, in one place.
 
-Production and tests use the same calls: a test replaces :attr:`Loop.sockets` by a subclass whose calls fail
-in the ways that Linux documents, at the moment that the test chooses.
+Tests replace :attr:`Loop.sockets` by a subclass that injects the errors documented for Linux at chosen calls.
 """
 
 from __future__ import annotations
@@ -10,9 +9,9 @@
 import socket
 from typing import Final
 
-PEEKED: Final = 1  # bytes: whether there is anything is all that is asked
+PEEK_BYTES: Final = 1  # enough to see whether there is any data
 
-#: Shortages of this machine that pass by themselves.  They say nothing of the other side.
+#: Temporary resource shortages of this machine, which say nothing about the peer.
 LOCAL_SHORTAGES: Final = frozenset(
     {
         errno.EMFILE,
@@ -26,23 +25,23 @@
         errno.EINTR,
     }
 )
-#: A send or receive that failed so may be made again: nothing was taken, and the connection stands.
-TRY_AGAIN: Final = frozenset({errno.ENOBUFS, errno.ENOMEM})
-#: Nothing can be done on a socket just now; the selector tells when it can.
+#: A send or receive that failed with these may be retried: no data was transferred, the connection is intact.
+RETRYABLE_ERRORS: Final = frozenset({errno.ENOBUFS, errno.ENOMEM})
+#: The operation would block or was interrupted; the selector reports when the socket is ready.
 NOT_READY: Final = (BlockingIOError, InterruptedError)
 
 
 class Sockets:
-    """Each method is one system call, or the few that belong together."""
+    """Each method is one system call, or a few that belong together."""
 
     def connect(self, host: str, port: int) -> socket.socket:
-        """A socket that is connecting or connected; OSError where not even that is possible."""
+        """Return a socket that is connecting or connected; OSError if the connect cannot be started."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             sock.connect((host, port))
-        except NOT_READY:  # an interrupted connect goes on like any other
+        except NOT_READY:  # an interrupted connect continues in the background
             pass
         except OSError:
             self.close(sock)
@@ -50,46 +49,46 @@
         return sock
 
     def connect_error(self, sock: socket.socket) -> int:
-        """The error number of a connect that is over, 0 where it succeeded."""
+        """Return the error number of a completed connect, 0 if it succeeded."""
         return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def accept(self, listening: socket.socket) -> socket.socket:
-        """Accept one connection; BlockingIOError where none waits."""
+        """Accept one connection; BlockingIOError if none is pending."""
         return listening.accept()[0]
 
-    def receive(self, sock: socket.socket, most: int) -> bytes:
-        """Read what has come, empty at the other side's end."""
-        return sock.recv(most)
+    def receive(self, sock: socket.socket, max_bytes: int) -> bytes:
+        """Read available data; empty at end of stream."""
+        return sock.recv(max_bytes)
 
     def peek(self, sock: socket.socket) -> bytes:
-        """What waits to be read, or a part of it, which stays there; empty at the other side's end."""
-        return sock.recv(PEEKED, socket.MSG_PEEK)
+        """Return a part of the available data without consuming it; empty at end of stream."""
+        return sock.recv(PEEK_BYTES, socket.MSG_PEEK)
 
     def send(self, sock: socket.socket, data: bytes | bytearray) -> int:
-        """Write a part of the data; return how many bytes."""
+        """Write a part of the data; return the number of bytes written."""
         return sock.send(data)
 
     def receive_with_sockets(
-        self, sock: socket.socket, most: int, most_sockets: int
+        self, sock: socket.socket, max_bytes: int, max_sockets: int
     ) -> tuple[bytes, list[socket.socket]]:
-        """Read what has come on a Unix socket, and the open sockets that came along."""
-        data, descriptors, _, _ = socket.recv_fds(sock, most, most_sockets)
+        """Read available data from a Unix socket, with the sockets passed along with it."""
+        data, descriptors, _, _ = socket.recv_fds(sock, max_bytes, max_sockets)
         return data, [socket.socket(fileno=descriptor) for descriptor in descriptors]
 
-    def send_with_socket(self, sock: socket.socket, data: bytes | bytearray, along: socket.socket) -> int:
-        """Write a part of the data to a Unix socket, and an open socket with it."""
-        return socket.send_fds(sock, [data], [along.fileno()])
+    def send_with_socket(self, sock: socket.socket, data: bytes | bytearray, passed: socket.socket) -> int:
+        """Write a part of the data to a Unix socket and pass an open socket with it."""
+        return socket.send_fds(sock, [data], [passed.fileno()])
 
     def send_to(self, sock: socket.socket, data: bytes, address: tuple[str, int]) -> None:
         """Send a datagram."""
         sock.sendto(data, address)
 
     def end_sending(self, sock: socket.socket) -> None:
-        """Tells the other side that nothing more will come."""
+        """Shut down the sending direction."""
         sock.shutdown(socket.SHUT_WR)
 
     def close(self, sock: socket.socket) -> None:
-        """The descriptor is free afterwards, whatever the call says of what was still to be sent."""
+        """Close the socket; an error about unsent data is ignored, as the descriptor is free in any case."""
         try:
             sock.close()
         except OSError:
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -1,4 +1,4 @@
-"""A TCP connection in the loop that never blocks: bytes in, bytes out, one end."""
+"""A non-blocking TCP connection in the event loop."""
 
 from __future__ import annotations
 
@@ -10,65 +10,65 @@
 from typing import Final, Protocol
 
 from carthinge.net.loop import READ, WRITE, Loop, Timer
-from carthinge.net.sockets import NOT_READY, TRY_AGAIN
+from carthinge.net.sockets import NOT_READY, RETRYABLE_ERRORS
 
 CHUNK: Final = 65536  # bytes
-UNREAD_LIMIT: Final = 512 * 1024  # bytes, far more than a peer that sends one message at a time has to read
-LINGER: Final = timedelta(seconds=2)  # without any progress, from the last answer to the end
-TRY_AGAIN_AFTER: Final = timedelta(milliseconds=10)  # where this machine is short of buffers
+MAX_UNSENT_BYTES: Final = 512 * 1024  # far more than a peer has to read that sends one message at a time
+LINGER_TIMEOUT: Final = timedelta(seconds=2)  # without progress, after the last response
+RETRY_DELAY: Final = timedelta(milliseconds=10)  # while this machine is short of buffers
 
 
 class StreamState(Enum):
-    """A connection's life; it only ever goes on to a later state.
+    """The states of a connection, which only changes to later ones.
 
-    CONNECTING -> OPEN -> FINISHING -> HALF_CLOSED -> BROKEN -> CLOSED, where each may be left out.
+    CONNECTING -> OPEN -> FINISHING -> HALF_CLOSED -> BROKEN -> CLOSED, where any may be skipped.
     """
 
-    CONNECTING = 1  #: ours, and not up yet
-    OPEN = 2  #: bytes go both ways
-    FINISHING = 3  #: the last bytes are being written; what comes in is dropped
-    HALF_CLOSED = 4  #: all is written and the other side was told so; its own end is waited for
-    BROKEN = 5  #: something could not be sent; its owner hears of the end in the next turn
+    CONNECTING = 1  #: outgoing, not established yet
+    OPEN = 2  #: established in both directions
+    FINISHING = 3  #: the last bytes are being written; received data is dropped
+    HALF_CLOSED = 4  #: everything is written and sending is shut down; waits for the peer to close
+    BROKEN = 5  #: a send failed; the owner is notified in the next turn
     CLOSED = 6
 
 
 class StreamOwner(Protocol):
-    """Who is told what happens on a stream; after ``ended`` nothing more comes."""
+    """Receives the events of a stream; ``ended`` is the last one."""
 
     def received(self, data: bytes) -> None:
-        """Take bytes that have come."""
+        """Handle received bytes."""
 
     def flushed(self) -> None:
-        """Hear that all that was written has gone out."""
+        """Handle that all written bytes have been sent."""
 
     def ended(self, why: str) -> None:
-        """Hear that the connection has ended by itself."""
+        """Handle the end of a connection that was not closed by its owner."""
 
 
 class ConnectingOwner(StreamOwner, Protocol):
-    """The owner of a stream that this side has opened."""
+    """The owner of an outgoing stream."""
 
     def connected(self) -> None:
-        """Hear that the connection is up."""
+        """Handle that the connection is established."""
 
 
 class Stream:
-    """Calls its owner from the loop only, but for ``flushed``, which may come from within ``write``."""
+    """Calls its owner only from the loop, except ``flushed``, which ``write`` may call directly."""
 
     def __init__(
         self, loop: Loop, sock: socket.socket, owner: StreamOwner, connecting: ConnectingOwner | None = None
     ) -> None:
-        """``connecting``: the owner again, where the socket is not up yet.  OSError as for any socket."""
+        """``connecting`` is the owner again if the socket is still connecting; raises OSError."""
         self.state = StreamState.OPEN if connecting is None else StreamState.CONNECTING
-        self.reset = False  # the other side broke it off; it may be well, and there still
+        self.reset = False  # closed or reset by the peer, which may still be healthy
         self._loop = loop
         self._sock = sock
         self._owner = owner
         self._connecting_owner = connecting
         self._out = bytearray()
-        self._linger: Timer | None = None
-        self._send_again: Timer | None = None  # these two are set while this machine is short of buffers
-        self._receive_again: Timer | None = None
+        self._linger_timer: Timer | None = None
+        self._send_retry: Timer | None = None  # this and the next are set while buffers are short
+        self._receive_retry: Timer | None = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._interest = READ if connecting is None else WRITE
@@ -76,29 +76,29 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self.state is StreamState.CLOSED
 
     @property
     def connecting(self) -> bool:
-        """Whether the connection is not up yet."""
+        """Whether the connection is not established yet."""
         return self.state is StreamState.CONNECTING
 
     @property
     def unsent(self) -> int:
-        """How many bytes wait to be sent."""
+        """Number of bytes not sent yet."""
         return len(self._out)
 
     def write(self, data: bytes) -> None:
-        """Sends as soon as that is possible; nothing more may be written after ``finish``."""
+        """Send data as soon as possible; not allowed after ``finish``."""
         self._out += data
         if not self.connecting:
             self._flush()
-        if len(self._out) > UNREAD_LIMIT:  # guards against a client that asks and asks and never reads
-            self._loop.soon(lambda: self._end("what was written was not read there"))
+        if len(self._out) > MAX_UNSENT_BYTES:  # guards against a client that sends requests and never reads
+            self._loop.soon(lambda: self._end("the peer does not read what is sent"))
 
     def silent(self) -> bool:
-        """Nothing has come in unread, not even the other side's end."""
+        """Whether nothing is waiting to be read, not even the end of the stream."""
         try:
             self._loop.sockets.peek(self._sock)
         except BlockingIOError:
@@ -108,7 +108,7 @@
         return False
 
     def left(self) -> bool:
-        """The other side has ended it, as far as this machine knows by now; what it sent before is read."""
+        """Whether the peer has closed the connection and all of its data has been read."""
         if self.state is StreamState.CLOSED:
             return True
         try:
@@ -116,53 +116,53 @@
         except NOT_READY:
             return False
         except OSError as fault:
-            return fault.errno not in TRY_AGAIN
+            return fault.errno not in RETRYABLE_ERRORS
 
     def finish(self) -> None:
-        """Closes once all is written and the other side has had the time to read it.
+        """Close after everything is written and the peer has had time to read it.
 
-        Closing at once, with input unread, would reset the connection and take the last answer with it: so
-        this side ends, what still comes in is read and dropped, and the other side's end is waited for.
+        Closing with unread input would reset the connection and could destroy the last response.  Therefore
+        sending is shut down, further input is dropped, and the peer is given time to close.
         """
         if self.state is StreamState.OPEN:
             self.state = StreamState.FINISHING
             self._flush()
             if not self.closed:
-                self._linger_on()
+                self._start_linger()
 
-    def _linger_on(self) -> None:
-        """Guards against a slow reader's answer being cut off in its middle: each part gets its time."""
-        left = len(self._out)
+    def _start_linger(self) -> None:
+        """Restart the timeout whenever bytes were sent, so that a slow reader gets its whole response."""
+        unsent = len(self._out)
 
-        def over() -> None:
-            if len(self._out) < left:
-                self._linger_on()
+        def expire() -> None:
+            if len(self._out) < unsent:
+                self._start_linger()
             else:
-                self._end("not ended there in time")
+                self._end("the peer did not close in time")
 
-        self._linger = self._loop.call_after(LINGER, over)
+        self._linger_timer = self._loop.call_after(LINGER_TIMEOUT, expire)
 
     def close(self) -> None:
-        """At once, whatever is unsent or unread."""
+        """Close at once, dropping unsent and unread data."""
         if not self.closed:
-            self._leave_loop()
+            self._detach()
             self._loop.sockets.close(self._sock)
 
     def release(self) -> socket.socket:
-        """Takes the socket out of the loop as it stands, with whatever is unread in it."""
+        """Remove the open socket from the loop, with its unread data, and return it."""
         assert self.state is StreamState.OPEN and not self._out
-        self._leave_loop()
+        self._detach()
         return self._sock
 
-    def _leave_loop(self) -> None:
+    def _detach(self) -> None:
         self.state = StreamState.CLOSED
-        for timer in (self._linger, self._send_again, self._receive_again):
-            if timer is not None:  # a flood of these would hold their memory for as long
+        for timer in (self._linger_timer, self._send_retry, self._receive_retry):
+            if timer is not None:  # pending timers would keep closed streams in memory
                 timer.cancel()
         self._loop.forget(self._sock)
 
     def _ready(self, mask: int) -> None:
-        if self.closed:  # by what happened earlier in this turn
+        if self.closed:  # by an earlier event of this turn
             return
         if self.connecting and not self._connect():
             return
@@ -172,7 +172,7 @@
             self._receive()
 
     def _connect(self) -> bool:
-        """Whether it is up and still wanted."""
+        """Complete the connect; return whether the stream is open afterwards."""
         error = self._loop.sockets.connect_error(self._sock)
         if error:
             self.reset = error == errno.ECONNRESET
@@ -181,7 +181,7 @@
         self.state = StreamState.OPEN
         if self._connecting_owner is not None:
             self._connecting_owner.connected()
-        self._want()
+        self._update_interest()
         return not self.closed
 
     def _receive(self) -> None:
@@ -190,55 +190,55 @@
         except NOT_READY:
             return
         except OSError as fault:
-            if fault.errno in TRY_AGAIN:
-                self._receive_again = self._loop.call_after(TRY_AGAIN_AFTER, self._read_on)
-                self._want()
+            if fault.errno in RETRYABLE_ERRORS:
+                self._receive_retry = self._loop.call_after(RETRY_DELAY, self._resume_receive)
+                self._update_interest()
                 return
             self.reset = True
             self._end(str(fault))
             return
         if not data:
             self.reset = True
-            self._end("ended by the other side")
+            self._end("closed by the peer")
         elif self.state is StreamState.OPEN:
             self._owner.received(data)
 
-    def _read_on(self) -> None:
-        self._receive_again = None
-        self._want()
+    def _resume_receive(self) -> None:
+        self._receive_retry = None
+        self._update_interest()
 
     def _flush(self) -> None:
-        if self.state not in (StreamState.OPEN, StreamState.FINISHING) or self._send_again is not None:
+        if self.state not in (StreamState.OPEN, StreamState.FINISHING) or self._send_retry is not None:
             return
         try:
-            had = len(self._out)
+            had_unsent = len(self._out)
             while self._out:
                 del self._out[: self._loop.sockets.send(self._sock, self._out)]
             if self.state is StreamState.FINISHING:
                 self.state = StreamState.HALF_CLOSED
                 self._loop.sockets.end_sending(self._sock)
-            elif had:
+            elif had_unsent:
                 self._owner.flushed()
         except NOT_READY:
             pass
         except OSError as fault:
-            if fault.errno not in TRY_AGAIN:
+            if fault.errno not in RETRYABLE_ERRORS:
                 self.reset = True
                 self.state = StreamState.BROKEN
                 why = str(fault)
                 self._loop.soon(lambda: self._end(why))
                 return
-            self._send_again = self._loop.call_after(TRY_AGAIN_AFTER, self._flush_again)
-        self._want()
+            self._send_retry = self._loop.call_after(RETRY_DELAY, self._resume_flush)
+        self._update_interest()
 
-    def _flush_again(self) -> None:
-        self._send_again = None
+    def _resume_flush(self) -> None:
+        self._send_retry = None
         self._flush()
 
-    def _want(self) -> None:
-        """Asks the loop for what can be done next."""
-        writing = self.connecting or (self._out and self._send_again is None)
-        reading = not self.connecting and self._receive_again is None
+    def _update_interest(self) -> None:
+        """Register the events that the stream currently waits for."""
+        writing = self.connecting or (self._out and self._send_retry is None)
+        reading = not self.connecting and self._receive_retry is None
         interest = (READ if reading else 0) | (WRITE if writing else 0)
         if not self.closed and interest != self._interest:
             self._loop.change(self._sock, interest, self._ready)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -49,7 +49,7 @@
                 break
         assert not owner.ends
         loop.turn(idle=False)
-        assert stream.closed and owner.ends == ["what was written was not read there"]
+        assert stream.closed and owner.ends == ["the peer does not read what is sent"]
         there.close()
     loop.close()
 
@@ -91,7 +91,7 @@
 
 def test_the_last_answer_on_a_connection_has_its_time_for_as_long_as_its_reader_goes_on(monkeypatch):
     """Cut off in its middle, it would be no whole answer."""
-    monkeypatch.setattr("carthinge.net.stream.LINGER", timedelta())
+    monkeypatch.setattr("carthinge.net.stream.LINGER_TIMEOUT", timedelta())
     loop, owner, answer = Loop(), Owner(), b"x" * 400_000
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -8,7 +8,7 @@
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import READ_TIMEOUT, SLOW_REQUEST, SLOW_WRITER_PAUSE
-from carthinge.net.stream import LINGER
+from carthinge.net.stream import LINGER_TIMEOUT
 
 OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
 MANY = {**SETTINGS, "instances": 5}
@@ -107,7 +107,7 @@
     client = dial(program).send(UP)
     drained(program)
     turns(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
-    let_pass(program, LINGER)
+    let_pass(program, LINGER_TIMEOUT)
     turns(program, lambda: len(program.frontend.slots) == 0)
     assert client.status() == 503
 
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -12,7 +12,7 @@
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
-from carthinge.net.listener import ACCEPT_PAUSE, GONE_AT_ONCE
+from carthinge.net.listener import ACCEPT_PAUSE, MAX_ABORTS_PER_TURN
 from carthinge.net.loop import Loop
 from carthinge.net.stream import Stream
 
@@ -63,13 +63,13 @@
 def test_accepts_that_are_aborted_without_end_do_not_spin(serve, dial):
     program = serve()
     sockets = faulty(program)
-    sockets.fail("accept", *[errno.ECONNABORTED] * (GONE_AT_ONCE + 1))
+    sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
     dial(program)
     with clock_stopped(program):
         turns(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["accept"] == GONE_AT_ONCE and program.counters.accept_pauses == 1
+        assert sockets.made["accept"] == MAX_ABORTS_PER_TURN and program.counters.accept_pauses == 1
 
 
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
@@ -176,7 +176,7 @@
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.made["send"] == 1, "it was tried again at once"
-    turns(program, lambda: sockets.left("send") == 0 and not program.loop._soon)
+    turns(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
     assert reading(client, program)[0].endswith("200 OK")
 
 
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -8,7 +8,7 @@
 from world import job
 
 from carthinge.net.deadlines import ANSWER_MARGIN
-from carthinge.net.listener import ACCEPTED_AT_ONCE
+from carthinge.net.listener import MAX_ACCEPTS_PER_TURN
 
 TIGHT = 64  # descriptors: what is not kept back leaves slots for ten connections
 
@@ -97,7 +97,7 @@
     program = serve()
     turns(program, lambda: program.loop.turns > 3)
     first = program.loop.now
-    peers = [dial(program).send(job(f"a{number}")) for number in range(ACCEPTED_AT_ONCE * 2)]
+    peers = [dial(program).send(job(f"a{number}")) for number in range(MAX_ACCEPTS_PER_TURN * 2)]
     turns(program, lambda: len(program.tracker.tracked_requests) == len(peers))
     given_up = {tracked.give_up for tracked in program.tracker.tracked_requests.values()}
     assert given_up == {first + timedelta(seconds=5) - ANSWER_MARGIN}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,7 +11,7 @@
 from world import SETTINGS, job, member
 
 from carthinge.interface import Listing
-from carthinge.net.clock import PERIODS_KEPT, STEP_LEAST, Clock
+from carthinge.net.clock import MAX_PERIODS, MIN_STEP, Clock
 from carthinge.net.loop import MICROSECOND
 from carthinge.net.members import Listed, Member
 from carthinge.net.worker_directory import WorkerDirectory, number_of
@@ -85,17 +85,17 @@
             machine.step(by)
             clock.check_for_step(clock.now())
             just_now = clock.of_unix_ms(machine.wall_ms())
-            assert timedelta() <= clock.now() - just_now <= STEP_LEAST + timedelta(milliseconds=1)
+            assert timedelta() <= clock.now() - just_now <= MIN_STEP + timedelta(milliseconds=1)
         assert timedelta() <= clock.of_unix_ms(reading) <= clock.now()
 
 
 def test_a_clock_that_is_set_again_and_again_takes_no_more_room(machine):
     clock = Clock()
-    for _ in range(3 * PERIODS_KEPT):
+    for _ in range(3 * MAX_PERIODS):
         machine.passes(S)
         machine.step(S)
         clock.check_for_step(clock.now())
-    assert len(clock._periods) <= PERIODS_KEPT + 1
+    assert len(clock._periods) <= MAX_PERIODS + 1
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
