--- a/carthinge/net/__init__.py
+++ b/carthinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real scheduler: sockets, timers and HTTP around the decision module, which decides everything."""
+"""The I/O of the scheduler: sockets, timers and HTTP.  All decisions are made by the decision module."""
--- a/carthinge/net/channel.py
+++ b/carthinge/net/channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes of one scheduler: whole messages, and open sockets beside them."""
+"""The upgrade channel between two processes of one scheduler: messages, and open sockets with them."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 from carthinge.net.members import Member
 from carthinge.net.sockets import NOT_READY
 
-FORMAT: Final = 2  # of these messages: a process that speaks another one is left alone
-LENGTH: Final = 4  # bytes of a message's length before it
-CHUNK: Final = 65536
-SOCKETS_AT_ONCE: Final = 32
-LONGEST: Final = 64 * 1024 * 1024
+FORMAT: Final = 2  # version of the messages; processes with different versions hand nothing over
+LENGTH_BYTES: Final = 4  # length prefix of a message
+RECEIVE_BYTES: Final = 65536
+MAX_SOCKETS_PER_RECEIVE: Final = 32
+MAX_MESSAGE_BYTES: Final = 64 * 1024 * 1024
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True):
-    """Asks to take over."""
+    """Requests the handover from the predecessor."""
 
     format: int
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A worker as the route table holds it."""
+    """A worker in the worker directory."""
 
     id: str
     address: str
     ready: bool
     listed: bool
-    member: Member | None  #: as discovery has named it last, if it has
-    started_us: int  #: its last start on the monotonic clock, 0 for long ago
+    member: Member | None  #: as last listed by discovery, if ever
+    started_us: int  #: last start on the monotonic clock, 0 for long ago
 
 
 class State(msgspec.Struct, frozen=True, tag=True):
-    """Everything that the one who takes over goes on from."""
+    """The state that the successor starts from."""
 
     discovery: str
     revision: int | None
     targets: list[Target]
     memory: Memory
-    classes: tuple[str, ...]  #: what the positions in ``memory`` stand for
+    classes: tuple[str, ...]  #: names by their positions in ``memory``; so are the next two
     tenants: tuple[str, ...]
     kinds: tuple[str, ...]
 
 
 class Begun(msgspec.Struct, frozen=True, tag=True):
-    """The one who takes over has all that it needs, and serves."""
+    """The successor has received everything and serves."""
 
 
 class Incoming(msgspec.Struct, frozen=True, tag=True):
-    """A connection of a client or of a worker that calls back; its socket comes along."""
+    """A connection of a client or of a worker that sends a callback, passed with its socket."""
 
     fresh: bool
-    read: bytes = b""  # what came on it and waits to be handled
-    connected_us: int | None = None  # on the monotonic clock; a fresh one's time to send something began then
-    came_us: int | None = None  # what waits on it, read or unread, came no earlier
+    read: bytes = b""  # received on it and not handled yet
+    connected_us: int | None = None  # on the monotonic clock; the read timeout of a fresh one starts then
+    came_us: int | None = None  # earliest arrival of its input that is not handled yet, read or unread
 
 
 class Waiting(msgspec.Struct, frozen=True, tag=True):
-    """A client that waits for a durable job; its socket comes along."""
+    """A client that waits for a durable job, passed with its socket."""
 
     job: str
     in_place: bool
@@ -73,18 +73,18 @@
 
 
 class OpenAttempt(msgspec.Struct, frozen=True):
-    """One send of a tracked request; its worker by id."""
+    """An attempt of a tracked request; its worker by id."""
 
     worker: str
     address: str
     sent_us: int
     due_us: int
     open: bool
-    result: int | None = None  #: how it has ended, where that is known
+    result: int | None = None  #: how it ended, if known
 
 
 class Open(msgspec.Struct, frozen=True, tag=True):
-    """A tracked request that is at rest; its client's socket comes along."""
+    """A tracked request with no I/O in progress, passed with its client's socket."""
 
     id: str
     subject: bytes
@@ -99,21 +99,21 @@
 
 
 class Outgoing(msgspec.Struct, frozen=True, tag=True):
-    """An idle connection to a worker; its socket comes along."""
+    """An idle connection to a worker, passed with its socket."""
 
     address: str
     idle_since_us: int
 
 
 class CallBack(msgspec.Struct, frozen=True, tag=True):
-    """A worker's call-back for a job that is not known where it came."""
+    """A worker's callback for a job that is not known to the process that received it."""
 
     number: int
     body: bytes
 
 
 class ByHandCall(msgspec.Struct, frozen=True, tag=True):
-    """An operator's call; ``sure`` where the id is known to who got it."""
+    """An operator's call; ``sure`` if the process that was called knows the worker id."""
 
     number: int
     worker: str
@@ -122,26 +122,26 @@
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """What was passed on is carried out; ``known`` where there was such a job or worker."""
+    """A forwarded message was handled; ``known`` if there was such a job or worker."""
 
     number: int
     known: bool
 
 
 class Beat(msgspec.Struct, frozen=True, tag=True):
-    """What the sender holds just now."""
+    """The number of slots and the loads that the sender currently holds."""
 
     slots: int
     loads: bytes
 
 
 Message = Hello | State | Begun | Incoming | Waiting | Open | Outgoing | CallBack | ByHandCall | Done | Beat
-_ALONG: Final = (Incoming, Waiting, Open, Outgoing)  # a socket comes with these
+_WITH_SOCKET: Final = (Incoming, Waiting, Open, Outgoing)  # messages that are passed with a socket
 _DECODER: Final[msgspec.msgpack.Decoder[Message]] = msgspec.msgpack.Decoder(Message)
 
 
 class Channel:
-    """A connected Unix socket in the loop.  A socket that is sent along is closed here once it is gone."""
+    """A connected Unix socket in the event loop.  A passed socket is closed here after it was sent."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         received: Callable[[Message, socket.socket | None], None],
         lost: Callable[[list[tuple[Message, socket.socket]]], None],
     ) -> None:
-        """``lost`` is told of the sockets that did not get there any more."""
+        """``lost`` is called with the messages and sockets that could not be sent."""
         self.closed = False
         self._loop = loop
         self._sock = sock
@@ -165,17 +165,17 @@
 
     @property
     def unsent(self) -> bool:
-        """Whether something waits to be sent."""
+        """Whether there is unsent output."""
         return bool(self._out)
 
-    def send(self, message: Message, along: socket.socket | None = None) -> None:
-        """Send a message, and an open socket with it."""
+    def send(self, message: Message, passed: socket.socket | None = None) -> None:
+        """Send a message, optionally with an open socket."""
         body = msgspec.msgpack.encode(message)
-        self._out.append((bytearray(len(body).to_bytes(LENGTH, "big") + body), message, along))
+        self._out.append((bytearray(len(body).to_bytes(LENGTH_BYTES, "big") + body), message, passed))
         self._flush()
 
     def close(self) -> None:
-        """Close the channel and the sockets that came on it unclaimed."""
+        """Close the channel and the received sockets that no message has claimed."""
         if not self.closed:
             self.closed = True
             self._loop.forget(self._sock)
@@ -190,7 +190,9 @@
 
     def _receive(self) -> None:
         try:
-            data, sockets = self._loop.sockets.receive_with_sockets(self._sock, CHUNK, SOCKETS_AT_ONCE)
+            data, sockets = self._loop.sockets.receive_with_sockets(
+                self._sock, RECEIVE_BYTES, MAX_SOCKETS_PER_RECEIVE
+            )
         except NOT_READY:
             return
         except OSError:
@@ -201,30 +203,30 @@
         if not data:
             self._end()
             return
-        while not self.closed and len(self._in) >= LENGTH:
-            size = int.from_bytes(self._in[:LENGTH], "big")
-            if size > LONGEST:
+        while not self.closed and len(self._in) >= LENGTH_BYTES:
+            size = int.from_bytes(self._in[:LENGTH_BYTES], "big")
+            if size > MAX_MESSAGE_BYTES:
                 self._end()
                 return
-            if len(self._in) < LENGTH + size:
+            if len(self._in) < LENGTH_BYTES + size:
                 return
-            body = bytes(self._in[LENGTH : LENGTH + size])
-            del self._in[: LENGTH + size]
+            body = bytes(self._in[LENGTH_BYTES : LENGTH_BYTES + size])
+            del self._in[: LENGTH_BYTES + size]
             try:
                 message = _DECODER.decode(body)
-                along = self._sockets.popleft() if isinstance(message, _ALONG) else None
+                passed = self._sockets.popleft() if isinstance(message, _WITH_SOCKET) else None
             except (msgspec.MsgspecError, IndexError):
                 self._end()
                 return
-            self._received(message, along)
+            self._received(message, passed)
 
     def _flush(self) -> None:
         try:
             while self._out and not self.closed:
-                data, message, along = self._out[0]
-                if along is not None:
-                    sent = self._loop.sockets.send_with_socket(self._sock, data, along)
-                    along.close()
+                data, message, passed = self._out[0]
+                if passed is not None:
+                    sent = self._loop.sockets.send_with_socket(self._sock, data, passed)
+                    passed.close()
                     self._out[0] = (data, message, None)
                 else:
                     sent = self._loop.sockets.send(self._sock, data)
@@ -244,6 +246,6 @@
     def _end(self) -> None:
         if not self.closed:
             self.close()
-            unsent = [(message, along) for _, message, along in self._out if along is not None]
+            unsent = [(message, passed) for _, message, passed in self._out if passed is not None]
             self._out.clear()
             self._lost(unsent)
--- a/carthinge/net/close_reason.py
+++ b/carthinge/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Why this side closes a connection: each close is logged with one of these."""
+"""The reasons for which this side closes a connection; each close is logged with one of them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class CloseReason(Enum):
-    """The values are the words in the log."""
+    """The values are the texts in the log."""
 
     SLOT_NEEDED = "a new connection needs its slot"
     NO_REQUEST = "no request began in time"
-    IDLE_IN_DRAIN = "idle, and the program drains"
-    PROGRAM_ENDS = "the program ends"
-    CALL_BACK_ELSEWHERE = "its call-back is for the next process"
+    IDLE_IN_DRAIN = "idle while the program drains"
+    PROGRAM_ENDS = "the program is exiting"
+    CALL_BACK_ELSEWHERE = "its callback is for the successor process"
     POOL_FULL = "the pool of worker connections is full"
-    IDLE_TOO_LONG = "idle for longer than its worker keeps it"
-    WORKER_OUT = "its worker was taken out by hand"
-    WORKER_CLOSED = "its worker has closed it or sent something unasked"
-    NOT_WANTED = "the request on it is not wanted any more"
+    IDLE_TOO_LONG = "idle for longer than its worker keeps connections"
+    WORKER_OUT = "its worker was excluded by an operator"
+    WORKER_CLOSED = "its worker closed it or sent unexpected data"
+    NOT_WANTED = "the attempt on it was withdrawn"
     UNUSABLE = "it cannot carry another request"
--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -1,4 +1,4 @@
-"""What a scheduler is told at its start, read from the environment and the file that it names."""
+"""The configuration of a scheduler, read from the environment and the file that it names."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from carthinge.operator_file import FileError, Options, check_classes, read
 from carthinge.settings import Facts, Site, read_site, shape_of
 
-LONGEST_NAME: Final = 64  # bytes, where schedulers talk
+MAX_NAME_BYTES: Final = 64  # in messages among schedulers
 
 
 class ConfigError(Exception):
-    """The configuration is of no use; the text names the fault."""
+    """The configuration is invalid; the text names the fault."""
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the machine gives the program."""
+    """The resources that the machine provides."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -40,32 +40,31 @@
     known: Listed = Listed()
 
 
-_FILES: Final[msgspec.json.Decoder[_File]] = msgspec.json.Decoder(_File)
+_FILE_DECODER: Final[msgspec.json.Decoder[_File]] = msgspec.json.Decoder(_File)
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that the program needs to know before it can serve."""
+    """The complete configuration of a scheduler."""
 
     name: str
     listen: Address
-    listening: int | None  #: a descriptor that listens there already, if one was inherited
-    operator: Address | None  #: where operators call, if anywhere
+    listening: int | None  #: an inherited descriptor that already listens there
+    operator: Address | None  #: address of the operator API, if any
     discovery: Address
     seed: int
     limits: Limits
     known: Listed
     site: Site
-    shape: frozenset[str]  #: the keys that the settings have
-    options: Options  #: the operator's own file
+    shape: frozenset[str]  #: the keys that are present in the settings
+    options: Options  #: from the operator's file
 
 
 def reload(environment: Mapping[str, str], before: Config) -> Config:
-    """The configuration as the file has it now; ConfigError where it lacks what the one before had.
+    """Read the file again; ConfigError if a key of the current settings is missing.
 
-    The operator's own file is not read again: it holds from start to start.
-    Discovery is taken from the file: a running program's environment cannot be replaced, so that what it
-    says of discovery is as old as the start.
+    The operator's file is read only at the start.  Discovery is taken from the file: the environment of a
+    running process cannot be replaced, so that its value of discovery may be outdated.
     """
     config = load(
         {
@@ -81,9 +80,9 @@
 
 
 def load(environment: Mapping[str, str], file_path: str | None = None) -> Config:
-    """The configuration; addresses and name in the environment go before those in the file.
+    """Read the configuration; addresses and name in the environment override those in the file.
 
-    ``file_path``: the operator's own file, by default the one that CARTHINGE_FILE names.
+    ``file_path`` is the operator's file, by default the one that CARTHINGE_FILE names.
     """
     try:
         options = read(file_path or environment.get("CARTHINGE_FILE"))
@@ -93,7 +92,7 @@
     if not path:
         raise ConfigError("RELAY_CONFIG is not set: it names the configuration file")
     try:
-        file = _FILES.decode(Path(path).read_bytes())
+        file = _FILE_DECODER.decode(Path(path).read_bytes())
     except OSError as fault:
         raise ConfigError(f"{path}: {fault.strerror}") from None
     except msgspec.MsgspecError as fault:
@@ -108,8 +107,10 @@
                 raise ValueError(f"services: {name}: hard_limit: must be over 0")
         check_classes(options, site.classes)
         name = environment.get("RELAY_NAME") or file.name
-        if options.fleet.listen and not 0 < len(name.encode()) <= LONGEST_NAME:
-            raise ValueError(f"name: expected 1 to {LONGEST_NAME} bytes, for others know this one by it")
+        if options.fleet.listen and not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+            raise ValueError(
+                f"name: expected 1 to {MAX_NAME_BYTES} bytes, as it identifies this scheduler to others"
+            )
         return Config(
             name=name,
             listen=Address.parse(environment.get("RELAY_LISTEN") or file.listen),
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -1,4 +1,4 @@
-"""Who holds the slots for connections that come in, and who makes room when all are taken."""
+"""The slots for incoming connections, and which connection is evicted when all are taken."""
 
 from __future__ import annotations
 
@@ -12,48 +12,48 @@
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.read_timeouts import silent_at
 
-FRESH_SHARE: Final = 0.5  # of all slots: more connections without a request yet push out each other
+MAX_FRESH_FRACTION: Final = 0.5  # of all slots; beyond it, connections without a request evict each other
 
 
 class Holder(Protocol):
-    """A connection that came in."""
+    """An incoming connection."""
 
     def idle(self) -> bool:
-        """Nothing is under way on it: it may be closed if it is silent too."""
+        """Whether no request is in progress, so that it may be closed if it is silent as well."""
 
     def silent(self) -> bool:
-        """Nothing waits on it to be read, and nothing to be sent."""
+        """Whether there is no unread input and no unsent output."""
 
     def began(self) -> bool:
-        """A part of a request has come on it."""
+        """Whether a request has been read in part."""
 
     def close(self, reason: CloseReason) -> None:
         """Close it at once."""
 
     def release(self) -> socket.socket:
-        """Lets go of its socket, which stays open."""
+        """Return its socket, which stays open, and stop using it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """The beginning of a connection."""
+    """The times at which a connection began."""
 
-    connected: timedelta  #: its client has connected no earlier
-    entered: timedelta  #: it was accepted here
+    connected: timedelta  #: earliest time at which its client can have connected
+    entered: timedelta  #: when it was accepted by this process
 
 
 class ConnectionSlots:
-    """The connections that came in, by how they have behaved; each is in one of the three orders.
+    """The incoming connections, each in one of three queues according to its behaviour.
 
-    Guards against clients that open connections by hundreds: those make room for each other, while the
-    kept connections of well-behaved clients stay.
+    Guards against clients that open hundreds of connections: these evict each other, while the idle
+    keep-alive connections of well-behaved clients stay.
     """
 
     def __init__(self, most: int) -> None:
         self.most = most
         self.fresh: OrderedDict[Holder, Opened] = OrderedDict()  # no request yet
-        self.kept: OrderedDict[Holder, None] = OrderedDict()  # the longest unused first
-        self.ending: OrderedDict[Holder, None] = OrderedDict()  # their last answer is written
+        self.kept: OrderedDict[Holder, None] = OrderedDict()  # least recently used first
+        self.ending: OrderedDict[Holder, None] = OrderedDict()  # their last response is written
 
     def __len__(self) -> int:
         return len(self.fresh) + len(self.kept) + len(self.ending)
@@ -63,55 +63,57 @@
         return [*self.fresh, *self.kept, *self.ending]
 
     def enter(self, holder: Holder, opened: Opened) -> None:
-        """Count a new connection."""
+        """Add a new connection."""
         self.fresh[holder] = opened
 
     def used(self, holder: Holder) -> None:
-        """A whole request has come on it."""
+        """Note that a complete request has been received on a connection."""
         self.fresh.pop(holder, None)
         if holder not in self.ending:
             self.kept[holder] = None
             self.kept.move_to_end(holder)
 
     def misused(self, holder: Holder) -> None:
-        """Its request was turned away as bad: it is the first of the kept to go."""
+        """Note that a request was invalid: the connection becomes the first of the kept ones to be evicted."""
         if holder in self.kept:
             self.kept.move_to_end(holder, last=False)
 
     def end(self, holder: Holder) -> None:
-        """Note that the last answer on a connection is written."""
+        """Note that the last response on a connection is written."""
         if self.fresh.pop(holder, self) is not self or self.kept.pop(holder, self) is not self:
             self.ending[holder] = None
 
     def leave(self, holder: Holder) -> None:
-        """Forget a connection that is closed."""
-        for order in (self.fresh, self.kept, self.ending):
-            order.pop(holder, None)
+        """Remove a closed connection."""
+        for queue in (self.fresh, self.kept, self.ending):
+            queue.pop(holder, None)
 
     def overdue(self, now: timedelta) -> list[Holder]:
-        """Those on which nothing has come in time, not even unread."""
+        """Return the connections that have received nothing in time, not even unread input."""
         return [
             holder
             for holder, opened in self.fresh.items()
             if now >= silent_at(opened.connected, opened.entered) and not holder.began() and holder.silent()
         ]
 
-    def make_room(self, now: timedelta, greeting: timedelta) -> Holder | None:
-        """The one to be closed for a new one, where all slots are taken; None where all are at work.
+    def make_room(self, now: timedelta, first_request_grace: timedelta) -> Holder | None:
+        """Return the connection to close for a new one if all slots are taken, None if all are busy.
 
-        What waits to be read on one makes it at work too, though nothing has been read, and so does having
-        come within ``greeting``: its first request may be on its way.
+        A connection with unread input counts as busy, and so does one that was accepted less than
+        ``first_request_grace`` ago: its first request may be on its way.
         """
-        # Guards against a request that has come and was not read yet: with the connection it would be lost.
+        # Only silent connections are closed: a request that has arrived unread would be lost.
         if done := _first_silent(self.ending):
             return done
-        greeted = [holder for holder, opened in self.fresh.items() if now >= opened.entered + greeting]
-        greeted.sort(key=lambda holder: holder.began())  # of a request that has begun some would be lost
-        if len(self.fresh) > self.most * FRESH_SHARE:  # the kept ones do not suffer for these
-            return _first_silent(greeted)
-        return _first_silent(self.kept, idle=True) or _first_silent(greeted)
+        past_grace = [
+            holder for holder, opened in self.fresh.items() if now >= opened.entered + first_request_grace
+        ]
+        past_grace.sort(key=lambda holder: holder.began())  # partly read requests would be lost: last
+        if len(self.fresh) > self.most * MAX_FRESH_FRACTION:  # spares the kept ones
+            return _first_silent(past_grace)
+        return _first_silent(self.kept, idle=True) or _first_silent(past_grace)
 
 
-def _first_silent(order: Iterable[Holder], idle: bool = False) -> Holder | None:
-    """One on which nothing waits and, if it has to be ``idle``, nothing is under way."""
-    return next((holder for holder in order if (not idle or holder.idle()) and holder.silent()), None)
+def _first_silent(queue: Iterable[Holder], idle: bool = False) -> Holder | None:
+    """Return the first silent connection that is also idle if ``idle`` is set."""
+    return next((holder for holder in queue if (not idle or holder.idle()) and holder.silent()), None)
--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery that keeps the list of workers up to date."""
+"""Long polling of discovery, which keeps the list of workers up to date."""
 
 from __future__ import annotations
 
@@ -22,63 +22,63 @@
 from carthinge.settings import Site
 
 PATH: Final = "/discovery/hosts"
-LIST_LIMIT: Final = 16 * 1024 * 1024  # bytes
-BROKEN_OFF: Final = timedelta(milliseconds=300)  # between two parts of an answer
+MAX_LIST_BYTES: Final = 16 * 1024 * 1024
+STALL_TIMEOUT: Final = timedelta(milliseconds=300)  # between two parts of a response
 
-# Where discovery is asked.  A change counts as told 6 s after discovery had it and could be reached, whatever
-# became of the calls before: a call that is given up and the pause after it stay below that together.
-WAIT: Final = timedelta(seconds=1)  # of a watch that has nothing to tell: a silent one is noticed soon after
-WAIT_EACH: Final = timedelta(milliseconds=50)  # at the least, for each scheduler: they share one discovery
-WAIT_MOST: Final = timedelta(seconds=60)  # by the protocol: a call that asks for more may be turned down
-OVERDUE: Final = timedelta(seconds=1)  # past its wait a call is taken for lost
-CHECK_WAIT: Final = MILLISECOND  # of the first call after a failure: its answer is due at once
-CHECK_OVERDUE: Final = timedelta(seconds=3.5)  # the answer may have to wait in discovery's own queue
+# Polling of a central discovery.  A change must be known 6 s after discovery has it and is reachable, even
+# after failed calls: the timeout of a call and the pause after it are shorter than that together.
+POLL_WAIT: Final = timedelta(seconds=1)  # without changes; short, so that a dead connection is noticed soon
+POLL_WAIT_PER_SCHEDULER: Final = timedelta(milliseconds=50)  # minimum: all schedulers share one discovery
+MAX_POLL_WAIT: Final = timedelta(seconds=60)  # by the protocol; calls with a longer wait may be rejected
+RESPONSE_MARGIN: Final = timedelta(seconds=1)  # beyond its wait, until a call counts as lost
+RETRY_WAIT: Final = MILLISECOND  # of the first call after a failure: the response is due at once
+RETRY_RESPONSE_MARGIN: Final = timedelta(seconds=3.5)  # the response may be queued at discovery
 
-# Where lists are pushed, an agent on this machine answers at once and at no cost.
-AGENT_SHARE: Final = 0.25  # of the grace for drains: how long a call of an agent waits, and is waited for
-AGENT_LEAST: Final = timedelta(milliseconds=20)  # however short the grace is: no busy loop
+# In pushed mode, an agent on this machine answers at once and at no cost.
+AGENT_WAIT_FRACTION: Final = 0.25  # of the drain grace: wait of a call to an agent, and its margin
+MIN_AGENT_WAIT: Final = timedelta(milliseconds=20)  # avoids a busy loop if the grace is very short
 
-_LISTS: Final[msgspec.json.Decoder[Listed]] = msgspec.json.Decoder(Listed)
+_LIST_DECODER: Final[msgspec.json.Decoder[Listed]] = msgspec.json.Decoder(Listed)
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """How long a watch waits, and for what."""
+class WatchTiming:
+    """The waits, margins and pauses of a watch."""
 
-    wait: timedelta  #: of a call that has nothing to tell
-    overdue: timedelta  #: past its wait a call is taken for lost
-    check_wait: timedelta  #: the same two for the calls after a failure, until one is answered
-    check_overdue: timedelta
-    again: timedelta | None  #: from a failure to the next call; None where the module says when
+    wait: timedelta  #: of a call if nothing changes
+    margin: timedelta  #: beyond the wait, until a call counts as lost
+    retry_wait: timedelta  #: these two: for calls after a failure, until one is answered
+    retry_margin: timedelta
+    retry_interval: timedelta | None  #: from a failure to the next call; None if the decision module decides
 
     @classmethod
-    def of(cls, site: Site) -> Pace:
-        """By the settings.
+    def of(cls, site: Site) -> WatchTiming:
+        """Return the timing for the settings.
 
-        Where lists are pushed, what the agent has counts as told whether or not it was heard: a call that
-        has fallen silent must be made anew within the grace for drains.  Where discovery is asked, all
-        schedulers share one, and what it writes counts as told.
+        In pushed mode, a change counts as known once the agent has it, even if it was not received here, so
+        a call without response must be repeated within the drain grace.  In polled mode, all schedulers
+        share one discovery, and a change counts as known once discovery has written it.
         """
         if site.pushed:
-            share = min(max(site.drain_grace * AGENT_SHARE, AGENT_LEAST), WAIT)
+            share = min(max(site.drain_grace * AGENT_WAIT_FRACTION, MIN_AGENT_WAIT), POLL_WAIT)
             return cls(share, share, share, 2 * share, share / 2)
-        wait = min(max(WAIT, WAIT_EACH * site.decisions.instances), WAIT_MOST)
-        return cls(wait, OVERDUE, CHECK_WAIT, CHECK_OVERDUE, None)
+        wait = min(max(POLL_WAIT, POLL_WAIT_PER_SCHEDULER * site.decisions.instances), MAX_POLL_WAIT)
+        return cls(wait, RESPONSE_MARGIN, RETRY_WAIT, RETRY_RESPONSE_MARGIN, None)
 
 
 class WatchState(Enum):
-    """What a watch is about."""
+    """The state of a watch."""
 
-    STOPPED = 1  #: nothing is asked before somebody says so
-    CALLING = 2  #: a call is under way
+    STOPPED = 1  #: no call until it is started
+    CALLING = 2  #: a call is in progress
     PAUSING = 3  #: after a failure, until the next call
 
 
 class DiscoveryWatch:
-    """Calls discovery again at once after each answer.
+    """Calls discovery, and again at once after each response.
 
-    After a failure it does so when the module says; where lists are pushed, that takes changes to come by
-    themselves, so that it is kept up from here.
+    After a failure the decision module decides when to call again.  In pushed mode it expects changes to
+    arrive by themselves, so there the watch retries on its own.
     """
 
     def __init__(
@@ -95,42 +95,42 @@
         self._address = address
         self._table = table
         self._connect_timeout = site.connect_timeout
-        self._pace = Pace.of(site)
+        self._timing = WatchTiming.of(site)
         self._failures = 0  # in a row
         self._counters = counters
         self._tell = tell
         self._caller: Caller | None = None
-        self._timer: Timer | None = None  # for an overdue answer while CALLING, for the next call in a pause
-        self._first: Callable[[], None] | None = None
+        self._timer: Timer | None = None  # response timeout while CALLING, next call while PAUSING
+        self._first_list_received: Callable[[], None] | None = None
 
     def start(self) -> None:
-        """The module wants to be told of changes; a watch that is under way already does that."""
+        """Start watching for changes, unless a call is in progress already."""
         if self.state is not WatchState.CALLING:
-            self._ask()
+            self._call()
 
-    def begin(self, site: Site, then: Callable[[], None]) -> None:
-        """The watch of a pushed list, from the first moment on.
+    def begin(self, site: Site, first_list_received: Callable[[], None]) -> None:
+        """Start watching a pushed list at the start of the process.
 
-        ``then`` is called once the agent has told its whole list, which it does at once: a new process is
-        held to it.  While discovery is down an agent is silent: nobody waits for that longer than for a
-        connection, or than a part of the grace.
+        ``first_list_received`` is called once the agent has sent its whole list, which a new process has to
+        know and which the agent sends at once.  While discovery is down its agent does not respond; the
+        wait for it is limited to the connect timeout and to a fraction of the drain grace.
         """
-        self._first = then
-        self._loop.call_after(min(self._pace.wait, site.connect_timeout), self._spoken)
-        self._ask(whole=True)
+        self._first_list_received = first_list_received
+        self._loop.call_after(min(self._timing.wait, site.connect_timeout), self._notify_first_list)
+        self._call(whole=True)
 
     def retune(self, site: Site) -> None:
-        """Other settings hold from the next call on."""
+        """Apply changed settings from the next call on."""
         self._connect_timeout = site.connect_timeout
-        self._pace = Pace.of(site)
+        self._timing = WatchTiming.of(site)
         if site.pushed:
             self.start()
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere from now on.  What is known holds until the new one has spoken.
+        """Switch to another discovery address.  The known list stays valid until the new one has answered.
 
-        It is asked for its whole list: its revisions are its own, so that a watch from one of the old
-        discovery's could wait in vain, or miss what came before it.
+        The whole list is requested, since revisions differ between discoveries: a watch from a revision of
+        the old one could wait in vain, or miss changes.
         """
         if address == self._address:
             return
@@ -138,10 +138,10 @@
         self._table.revision = None
         self._failures = 0
         self.stop()
-        self._ask()
+        self._call()
 
     def stop(self) -> None:
-        """Nothing of what is under way counts any more."""
+        """Cancel the call in progress and the timer."""
         self.state = WatchState.STOPPED
         if self._timer is not None:
             self._timer.cancel()
@@ -150,9 +150,9 @@
             self._caller.close()
             self._caller = None
 
-    # ---- one call after the other ---------------------------------------------------------
+    # ---- calls ---------------------------------------------------------
 
-    def _ask(self, whole: bool = False) -> None:
+    def _call(self, whole: bool = False) -> None:
         if self._timer is not None:
             self._timer.cancel()
         caller = self._caller
@@ -160,32 +160,32 @@
             if caller is not None:
                 caller.close()
             caller = self._caller = Caller(
-                self._loop, self._address, self._connect_timeout, LIST_LIMIT, BROKEN_OFF
+                self._loop, self._address, self._connect_timeout, MAX_LIST_BYTES, STALL_TIMEOUT
             )
             caller.open()
-        checking = self._failures > 0
-        wait = self._pace.check_wait if checking else self._pace.wait
-        overdue = self._pace.check_overdue if checking else self._pace.overdue
+        retrying = self._failures > 0
+        wait = self._timing.retry_wait if retrying else self._timing.wait
+        margin = self._timing.retry_margin if retrying else self._timing.margin
         revision = None if whole else self._table.revision
         query = "" if revision is None else f"?index={revision}&wait={max(1, wait // MILLISECOND)}"
         self.state = WatchState.CALLING
-        self._timer = self._loop.call_after(wait + overdue, self._overdue)
+        self._timer = self._loop.call_after(wait + margin, self._response_overdue)
         caller.start(_WatchCall(self, (PATH + query).encode(), str(self._address), revision))
 
     def answered(self, revision: int | None, answer: Answer) -> None:
-        """``revision``: that news were asked for since, None where the whole list was."""
+        """Handle a response; changes since ``revision`` were requested, the whole list if it is None."""
         if answer.status != HTTPStatus.OK:
             self._failed(f"status {answer.status}")
             return
         try:
-            listed = _LISTS.decode(answer.body)
+            listed = _LIST_DECODER.decode(answer.body)
             if revision is not None and listed.revision < revision:
-                # An older list than the one that is known would take back what was told since, such as a
-                # worker's drain; and if discovery has begun anew, its whole list is what counts.
+                # An older list would undo later changes, such as a worker's drain.  If discovery has
+                # restarted, its revisions have too, and its whole list is valid.
                 log.logger().warning("list_out_of_order", revision=listed.revision, known=revision)
-                self._ask(whole=True)
+                self._call(whole=True)
                 return
-            told = self._table.take(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
+            update = self._table.take(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
         except (msgspec.MsgspecError, ValueError, OverflowError) as fault:
             self._failed(f"unreadable: {fault}")
             return
@@ -198,44 +198,44 @@
         self._counters.watch_answers += 1
         self._counters.list_lines += len(listed.members)
         self._failures = 0
-        self._ask()  # first: a watch goes on only if the next call comes soon after the answer
-        self._tell(told)
-        self._spoken()
+        self._call()  # before the list is handled: the watch lasts only if the next call follows soon
+        self._tell(update)
+        self._notify_first_list()
 
     def broken(self, why: str) -> None:
-        """Hear that the call under way ended without an answer."""
+        """Handle that a call ended without a response."""
         self._failed(why)
 
-    def _overdue(self) -> None:
-        """Guards against a watch that has fallen silent, as when discovery's machine vanishes.
+    def _response_overdue(self) -> None:
+        """Handle a response timeout, as when discovery's machine disappears.
 
-        Nothing would ever be said on it, and meanwhile jobs would go to workers that have left.
+        Without it the call would wait forever, while jobs were sent to workers that have left.
         """
         self._failed("no answer in time", timedelta())
 
     def _failed(self, why: str, pause: timedelta | None = None) -> None:
-        """``pause`` before the next call, where it is not the usual one."""
+        """Handle a failed call; ``pause`` replaces the usual pause before the next one."""
         self.stop()
         self._counters.watch_failures += 1
         self._failures += 1
         self.state = WatchState.PAUSING
-        again = self._pace.again
-        # An agent is silent for as long as discovery is down: one line tells that.
-        say = log.logger().warning if again is None or self._failures == 1 else log.logger().debug
-        say("discovery_failed", why=why, revision=self._table.revision)
-        if again is None:
+        interval = self._timing.retry_interval
+        # An agent does not respond while discovery is down: only the first failure is a warning.
+        write = log.logger().warning if interval is None or self._failures == 1 else log.logger().debug
+        write("discovery_failed", why=why, revision=self._table.revision)
+        if interval is None:
             self._tell(WorkerList(Listing.FAILED))
         else:
-            self._timer = self._loop.call_after(again if pause is None else pause, self.start)
+            self._timer = self._loop.call_after(interval if pause is None else pause, self.start)
 
-    def _spoken(self) -> None:
-        first, self._first = self._first, None
+    def _notify_first_list(self) -> None:
+        first, self._first_list_received = self._first_list_received, None
         if first is not None:
             first()
 
 
 class _WatchCall:
-    """One call of a watch; it is told nothing more once its caller was closed."""
+    """One call of a watch; gets no events after its caller was closed."""
 
     def __init__(self, watch: DiscoveryWatch, target: bytes, host: str, revision: int | None) -> None:
         self._watch = watch
@@ -246,7 +246,7 @@
         return self._data
 
     def written(self) -> None:
-        """Nothing follows from that."""
+        """Ignore that the request was sent."""
 
     def answered(self, answer: Answer) -> None:
         self._watch.answered(self._revision, answer)
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 both ways: requests read, answers written; calls written, their answers read."""
+"""HTTP/1.1 for both sides: parsing and encoding of requests and responses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from carthinge.net.stream import CHUNK
 
 BODY_LIMIT: Final = 64 * 1024
-HEAD_LIMIT: Final = 32 * 1024
-FED_LIMIT: Final = 8 * BODY_LIMIT  # bytes of a message on the wire, whatever their framing
+MAX_HEAD_BYTES: Final = 32 * 1024
+MAX_MESSAGE_BYTES: Final = 8 * BODY_LIMIT  # of one message on the wire, including all framing
 Headers = dict[bytes, bytes]
 
 
 class BadRequestError(Exception):
-    """Input that gets an answer of the 400s and ends its connection."""
+    """Invalid input: it is answered with a status in the 400s and ends its connection."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True)
 class Request:
-    """A whole request; header names in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
     keep_alive: bool
-    came: timedelta = timedelta()  #: its last byte was here no earlier; set by who reads it
+    came: timedelta = timedelta()  #: earliest time at which its last byte can have arrived; set by the reader
 
 
 @dataclass(slots=True)
 class Answer:
-    """A whole answer to a call."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -49,7 +49,7 @@
 
 
 class _Message:
-    """What httptools tells of the message that is being read, within the limits."""
+    """Collects what httptools reports about the current message and enforces the limits."""
 
     def __init__(self, body_limit: int) -> None:
         self._body_limit = body_limit
@@ -59,65 +59,65 @@
         self.target = b""
         self.headers: Headers = {}
         self.body = bytearray()
-        self._head = 0
+        self._head_bytes = 0
         self.under_way = True
 
     def on_url(self, part: bytes) -> None:
         self.target += part
-        self._count(len(part))
+        self._count_head(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers[name.lower()] = value.strip(b" \t")  # the parser leaves the blanks after a value in it
-        self._count(len(name) + len(value))
+        self.headers[name.lower()] = value.strip(b" \t")  # the parser keeps trailing blanks
+        self._count_head(len(name) + len(value))
 
     def on_body(self, part: bytes) -> None:
         self.body += part
         if len(self.body) > self._body_limit:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
-    def _count(self, size: int) -> None:
-        self._head += size
-        if self._head > HEAD_LIMIT:
+    def _count_head(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > MAX_HEAD_BYTES:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "the head is too large")
 
 
 class RequestReader(_Message):
-    """Bytes to requests, however they are split."""
+    """Parses requests from bytes that may be split anywhere."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self._done: list[Request] = []
-        self._fed = 0  # bytes since a message was whole
+        self._bytes_fed = 0  # since the last complete message
         self._in_head = True
         self.expects_go_ahead = False
         super().__init__(BODY_LIMIT)
         self.under_way = False
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that ``data`` completes; after a BadRequestError the reader is of no use."""
+        """Return the requests that ``data`` completes; the reader is unusable after a BadRequestError."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "no other protocol is spoken here") from None
         except httptools.HttpParserError as fault:
-            cause = fault.__context__  # what a callback raised comes wrapped
+            cause = fault.__context__  # errors raised in a parser callback are wrapped
             if isinstance(cause, BadRequestError):
                 raise cause from None
             raise BadRequestError(HTTPStatus.BAD_REQUEST, f"not HTTP: {fault}") from None
         done, self._done = self._done, []
-        self._fed = 0 if done else self._fed + len(data)
-        if self._fed > (HEAD_LIMIT + CHUNK if self._in_head else FED_LIMIT):
-            # Guards against an endless line: the parser tells of it when it is over, and holds it until then.
+        self._bytes_fed = 0 if done else self._bytes_fed + len(data)
+        if self._bytes_fed > (MAX_HEAD_BYTES + CHUNK if self._in_head else MAX_MESSAGE_BYTES):
+            # Guards against an endless line, which the parser buffers and reports only when it is complete.
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "the request is too large")
         return done
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (called by the parser)."""
-        if self._in_head:  # what follows a body is no header: it must not replace one that counted
+        """Store a header (called by the parser)."""
+        if self._in_head:  # trailers must not replace headers
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Check the announced size (called by the parser)."""
+        """Check the Content-Length (called by the parser)."""
         self._in_head = False
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > BODY_LIMIT:
@@ -125,7 +125,7 @@
         self.expects_go_ahead = self.headers.get(b"expect", b"").lower() == b"100-continue"
 
     def on_message_complete(self) -> None:
-        """Keep the whole request (called by the parser)."""
+        """Store the complete request (called by the parser)."""
         parser = self._parser
         self.under_way = self.expects_go_ahead = False
         self._in_head = True
@@ -137,7 +137,7 @@
 
 
 class AnswerReader(_Message):
-    """Bytes to answers; those that only announce one (1xx) are passed over."""
+    """Parses responses; interim ones (1xx) are skipped."""
 
     def __init__(self, body_limit: int) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -147,30 +147,30 @@
         self._ends_with_connection = False
 
     def feed(self, data: bytes) -> list[Answer]:
-        """Return the answers that ``data`` completes; raises the errors of httptools."""
+        """Return the responses that ``data`` completes; raises the errors of httptools."""
         self._parser.feed_data(data)
         done, self._done = self._done, []
         return done
 
     def end(self) -> Answer | None:
-        """The connection has ended: the answer whose end that was, None where it broke off."""
+        """Return the response that the end of the connection completes, None if it is incomplete."""
         if not (self.under_way and self._ends_with_connection):
             return None
         self.under_way = False
         return Answer(self._parser.get_status_code(), self.headers, bytes(self.body), keep_alive=False)
 
     def on_message_begin(self) -> None:
-        """Begin an answer (called by the parser)."""
+        """Start a response (called by the parser)."""
         super().on_message_begin()
         self._ends_with_connection = False
 
     def on_headers_complete(self) -> None:
-        """Note how the body ends (called by the parser)."""
+        """Determine whether the body ends with the connection (called by the parser)."""
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
         self._ends_with_connection = not framed and self._parser.get_status_code() >= HTTPStatus.OK
 
     def on_message_complete(self) -> None:
-        """Keep the whole answer (called by the parser)."""
+        """Store the complete response (called by the parser)."""
         self.under_way = False
         status = self._parser.get_status_code()
         if status >= HTTPStatus.OK:
@@ -184,7 +184,7 @@
 def answer_bytes(
     status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = (), keep_alive: bool = True
 ) -> bytes:
-    """An answer as it goes out."""
+    """Encode a response."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     if status != HTTPStatus.NO_CONTENT:
@@ -197,7 +197,7 @@
 def call_bytes(
     method: str, target: bytes, host: str, headers: Iterable[tuple[str, bytes]] = (), body: bytes = b""
 ) -> bytes:
-    """A request as it goes out."""
+    """Encode a request."""
     parts = [method.encode(), b" ", target, b" HTTP/1.1\r\nHost: ", host.encode(), b"\r\n"]
     for name, value in headers:
         parts += (name.encode(), b": ", value, b"\r\n")
@@ -208,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where somebody listens."""
+    """A host and port."""
 
     host: str
     port: int
--- a/carthinge/net/log.py
+++ b/carthinge/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines as logfmt on standard error; docs/oncall.md has an entry for each of them."""
+"""Logging in logfmt on standard error; docs/oncall.md describes every event."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def set_up(level: str, name: str) -> None:
-    """To be called once, before the first line; every line carries the scheduler's name."""
+    """Configure logging; called once, before the first line.  Every line has the scheduler's name."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -34,7 +34,7 @@
 
 
 def logger() -> structlog.typing.FilteringBoundLogger:
-    """The one logger: it is put together at its first line, which costs more than many lines after it."""
+    """Return the shared logger, which is assembled at its first line, an expensive step."""
     return _LOGGER
 
 
--- a/carthinge/net/members.py
+++ b/carthinge/net/members.py
@@ -1,4 +1,4 @@
-"""Workers as discovery words them."""
+"""The worker list in the format of discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One worker."""
+    """One entry of the list."""
 
     id: str
     host_port: str
@@ -21,7 +21,7 @@
 
 
 class Listed(msgspec.Struct, frozen=True):
-    """The whole list, or what has changed in it."""
+    """The complete list, or the changes since a revision."""
 
     revision: int = 0
     complete: bool = True
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -1,4 +1,4 @@
-"""The workers that discovery has named, as this scheduler reaches them."""
+"""The workers that discovery has listed, and their addresses."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerEndpoint:
-    """A worker: its name on the wire, its number for the module, and where it listens just now."""
+    """A worker: its id on the wire, its number in the decision module, and its current address."""
 
     id: str
     number: int
     address: Address
-    left: bool = False  # it drains or is gone: nothing new may go there
+    left: bool = False  # draining or gone: must get no new attempts
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A worker's last start: as discovery tells it, and on this machine's monotonic clock.
+    """A worker's last start, as reported by discovery and on this machine's monotonic clock.
 
-    Kept as it was translated when it was first heard of: a step of the wall clock would make it another one.
+    It is converted only once: after a step of the wall clock it would be taken for another start.
     """
 
     unix_ms: int
@@ -41,38 +41,39 @@
 
 
 def number_of(worker: str) -> int:
-    """The module's id of a worker, the same at every scheduler and after every start."""
+    """Return a worker's number in the decision module, the same at all schedulers and after restarts."""
     return int.from_bytes(blake2b(worker.encode(), digest_size=8).digest(), "little")
 
 
 class WorkerDirectory:
-    """All workers that discovery has ever named here; the module keeps their states."""
+    """All workers that discovery has ever listed; the decision module keeps their states."""
 
     def __init__(self, site: Site, clock: Clock) -> None:
         self.targets: dict[int, WorkerEndpoint] = {}
-        self.revision: int | None = None  # none that the present discovery has given
+        self.revision: int | None = None  # None until the current discovery has given one
         self.ready: set[str] = set()
-        self.listed: set[str] = set()  # ready or not
-        self._members: dict[str, Member] = {}  # as they were named last
+        self.listed: set[str] = set()  # whether ready or not
+        self._members: dict[str, Member] = {}  # as last listed
         self._starts: dict[str, Start] = {}
         self._clock = clock
         self._zones: dict[str, int] = {}
         self._kinds: dict[str, int] = {}
-        self._name(site)
+        self._set_positions(site)
 
-    def _name(self, site: Site) -> None:
+    def _set_positions(self, site: Site) -> None:
         self._zones = {name: index for index, name in enumerate(site.zones)}
         self._kinds = {name: index for index, name in enumerate(site.kinds)}
 
     def retune(self, site: Site) -> WorkerList:
-        """Zones and machine kinds have other positions from now on: all that is listed, told by these."""
-        self._name(site)
+        """Apply changed zones and machine kinds; return all listed workers with their new positions."""
+        self._set_positions(site)
         return WorkerList(Listing.WHOLE, self._entries())
 
     def take(self, listed: Listed, listing: Listing) -> WorkerList:
-        """Holds what discovery says and translates it for the module.
+        """Store a list from discovery and convert it for the decision module.
 
-        All of it is read first: with half of a bad answer held, the rest would never be asked for again.
+        It is parsed as a whole first: if a part of an invalid list were stored, the rest would never be
+        requested again.
         """
         addresses = [Address.parse(member.host_port) for member in listed.members]
         entries = tuple(self._entry(member) for member in listed.members)
@@ -80,15 +81,15 @@
             self.ready.clear()
             self.listed.clear()
         for member, entry, address in zip(listed.members, entries, addresses, strict=True):
-            self._hold(member, entry.worker, address)
-        if listing is not Listing.CHANGES:  # those that are not named have gone
+            self._store(member, entry.worker, address)
+        if listing is not Listing.CHANGES:  # workers that are not listed are gone
             for target in self.targets.values():
                 target.left = target.id not in self.ready
         self.revision = listed.revision
         return WorkerList(listing, entries)
 
     def told(self) -> list[Target]:
-        """For the process that takes over."""
+        """Return the contents for the successor process."""
         return [
             Target(
                 target.id,
@@ -102,26 +103,26 @@
         ]
 
     def go_on(self, state: HandedOver) -> WorkerList:
-        """From what another process held, translated by the names of this one's settings."""
+        """Restore the predecessor's contents, converted with the zones and kinds of this process."""
         self.revision = state.revision
-        for told in state.targets:
-            number = number_of(told.id)
+        for handed in state.targets:
+            number = number_of(handed.id)
             self.targets[number] = WorkerEndpoint(
-                told.id, number, Address.parse(told.address), left=not told.ready
+                handed.id, number, Address.parse(handed.address), left=not handed.ready
             )
-            if told.member is not None:
-                self._members[told.id] = told.member
-                self._starts[told.id] = Start(told.member.up_since_ms, told.started_us * MICROSECOND)
-        self.ready.update(told.id for told in state.targets if told.ready)
-        self.listed.update(told.id for told in state.targets if told.listed)
+            if handed.member is not None:
+                self._members[handed.id] = handed.member
+                self._starts[handed.id] = Start(handed.member.up_since_ms, handed.started_us * MICROSECOND)
+        self.ready.update(handed.id for handed in state.targets if handed.ready)
+        self.listed.update(handed.id for handed in state.targets if handed.listed)
         return WorkerList(Listing.CACHED, self._entries())
 
     def target(self, worker: str, address: Address) -> WorkerEndpoint:
-        """A worker that another process has sent to; discovery need not have named it here yet."""
+        """Return a worker that another process has sent to, and add it if discovery has not listed it yet."""
         number = number_of(worker)
         return self.targets.setdefault(number, WorkerEndpoint(worker, number, address))
 
-    def _hold(self, member: Member, number: int, address: Address) -> None:
+    def _store(self, member: Member, number: int, address: Address) -> None:
         target = self.targets.setdefault(number, WorkerEndpoint(member.id, number, address))
         target.address = address
         target.left = member.phase != "Ready"
@@ -130,9 +131,9 @@
         (self.listed.add if member.phase != "Gone" else self.listed.discard)(member.id)
 
     def _entries(self) -> tuple[WorkerEntry, ...]:
-        """All that is listed, in an order that does not change."""
-        named = sorted(self.listed & self._members.keys())
-        return tuple(self._entry(self._members[name]) for name in named)
+        """Return all listed workers in a stable order."""
+        names = sorted(self.listed & self._members.keys())
+        return tuple(self._entry(self._members[name]) for name in names)
 
     def _entry(self, member: Member) -> WorkerEntry:
         return WorkerEntry(
@@ -142,10 +143,10 @@
             member.cell,
             STATES[member.phase],
             member.size,
-            self._started(member) // MICROSECOND,
+            self._start_time(member) // MICROSECOND,
         )
 
-    def _started(self, member: Member) -> timedelta:
+    def _start_time(self, member: Member) -> timedelta:
         if not member.up_since_ms:
             return timedelta()
         start = self._starts.get(member.id)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from world import SETTINGS, Listener, World, member
 
-from carthinge.net.discovery import Pace
+from carthinge.net.discovery import WatchTiming
 from carthinge.settings import Facts, read_site
 
 
@@ -236,6 +236,8 @@
 
 @given(grace=st.timedeltas(timedelta(milliseconds=100), timedelta(seconds=10)))
 def test_whatever_the_grace_a_pushed_watch_is_made_anew_within_it(grace):
-    pace = Pace.of(read_site(Facts.from_nested(pushed(grace // timedelta(microseconds=1)))))
-    assert pace.wait + pace.overdue + pace.again < grace and pace.again >= timedelta(milliseconds=10)
-    assert pace.check_wait + pace.check_overdue + pace.again < grace
+    timing = WatchTiming.of(read_site(Facts.from_nested(pushed(grace // timedelta(microseconds=1)))))
+    assert timing.wait + timing.margin + timing.retry_interval < grace and timing.retry_interval >= timedelta(
+        milliseconds=10
+    )
+    assert timing.retry_wait + timing.retry_margin + timing.retry_interval < grace
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -13,7 +13,7 @@
 from world import SETTINGS, Listener, job, member
 
 from carthinge import interface as io
-from carthinge.net.discovery import CHECK_OVERDUE, CHECK_WAIT, OVERDUE, WatchState
+from carthinge.net.discovery import RESPONSE_MARGIN, RETRY_RESPONSE_MARGIN, RETRY_WAIT, WatchState
 from carthinge.net.http import Address
 from carthinge.net.loop import MICROSECOND
 from carthinge.net.worker_directory import number_of
@@ -71,9 +71,9 @@
         paused = now
         while not of(io.Watch, gateway.handle(now, [io.Timer(0)])):
             now += 50_000
-    assert (now - paused) * MICROSECOND + OVERDUE < TOLD_AFTER
+    assert (now - paused) * MICROSECOND + RESPONSE_MARGIN < TOLD_AFTER
     few = min(instances, 100) == instances
-    assert not few or (now - paused) * MICROSECOND + CHECK_WAIT + CHECK_OVERDUE < TOLD_AFTER
+    assert not few or (now - paused) * MICROSECOND + RETRY_WAIT + RETRY_RESPONSE_MARGIN < TOLD_AFTER
 
 
 def test_after_a_failure_an_answer_is_due_at_once_and_not_waited_for_long(watching, discovery):
@@ -85,7 +85,7 @@
     passes(program, timedelta(seconds=1))
     silent = taken(discovery, program)
     assert reading(silent, program)[0] == "GET /discovery/hosts?index=9&wait=1 HTTP/1.1"
-    passes(program, CHECK_WAIT + CHECK_OVERDUE + timedelta(seconds=2))
+    passes(program, RETRY_WAIT + RETRY_RESPONSE_MARGIN + timedelta(seconds=2))
     again = taken(discovery, program)
     reading(again, program)
     assert silent.ended() and "wait=1000" in tell(program, again, 10, member("s-0", 1))
@@ -99,7 +99,7 @@
     reading(peer, program)
     line = tell(program, peer, 9, member("s-0", 1))
     wait = timedelta(milliseconds=int(line.split("wait=")[1].split()[0]))
-    passes(program, wait + OVERDUE + timedelta(milliseconds=500))
+    passes(program, wait + RESPONSE_MARGIN + timedelta(milliseconds=500))
     again = taken(discovery, program)
     assert reading(again, program)[0].endswith("index=9&wait=1 HTTP/1.1") and peer.ended()
 
--- a/tests/test_read_timeouts.py
+++ b/tests/test_read_timeouts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carthinge.net.read_timeouts import LAST_CHANCE, SLOW_REQUEST, PartialRequest
+from carthinge.net.read_timeouts import LAST_CHANCE, MAX_REQUEST_DURATION, PartialRequest
 
 OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
 HELD_UP = timedelta(milliseconds=150)  # so long a scheduler may be, at the most
@@ -35,8 +35,8 @@
     now = partial.first_read
     for pause in pauses:
         now += timedelta(milliseconds=pause)
-        if now >= partial.first_read + SLOW_REQUEST:
+        if now >= partial.first_read + MAX_REQUEST_DURATION:
             break
         assert partial.overdue_at() > now
         partial.progressed = now
-    assert partial.overdue_at() <= max(partial.first_read + SLOW_REQUEST, began + OWED_WITHIN)
+    assert partial.overdue_at() <= max(partial.first_read + MAX_REQUEST_DURATION, began + OWED_WITHIN)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -7,7 +7,7 @@
 from in_process import UP, call_back, drained, lists, reading, taken, turns
 from world import SETTINGS, job, member
 
-from carthinge.net.read_timeouts import READ_TIMEOUT, SLOW_REQUEST, SLOW_WRITER_PAUSE
+from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
 from carthinge.net.stream import LINGER_TIMEOUT
 
 OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
@@ -39,7 +39,7 @@
     slow = dial(program).send(UP[:4])
     turns(program, lambda: program.frontend.slots.fresh)
     one_read(program)
-    for at, pause in ((4, READ_TIMEOUT), (8, SLOW_WRITER_PAUSE), (12, SLOW_WRITER_PAUSE)):
+    for at, pause in ((4, READ_TIMEOUT), (8, MAX_PART_INTERVAL), (12, MAX_PART_INTERVAL)):
         let_pass(program, pause - timedelta(milliseconds=300))
         program.loop.turn(idle=False)
         slow.send(UP[at : at + 4])
@@ -67,7 +67,7 @@
     client = dial(program).send(b"GET /up HTTP/1.1\r\nX: ")
     turns(program, lambda: program.frontend.slots.fresh)
     passed = timedelta()
-    while not program.counters.bad_input and passed <= SLOW_REQUEST:
+    while not program.counters.bad_input and passed <= MAX_REQUEST_DURATION:
         client.send(b"x")
         one_read(program)
         let_pass(program, step := timedelta(milliseconds=200))
