--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -74,7 +74,7 @@
             self.kept.move_to_end(holder)
 
     def misused(self, holder: Holder) -> None:
-        """Note that a request was invalid: the connection becomes the first of the kept ones to be evicted."""
+        """Note that a request was invalid: the connection becomes the first kept one to be evicted."""
         if holder in self.kept:
             self.kept.move_to_end(holder, last=False)
 
--- a/carthinge/net/counters.py
+++ b/carthinge/net/counters.py
@@ -14,7 +14,7 @@
     served: int = 0
     shed: int = 0
     failed: int = 0
-    client_gone: int = 0  #: connections closed by the client before its response
+    client_gone: int = 0  #: ended because the client closed before its response
     bad_input: int = 0  #: rejected with 400, 404 or 413; not in ``taken``
     attempts: int = 0  #: started
     attempts_written: int = 0  #: of these, sent completely to a worker
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors: discovery, workers and call-backs must still be reached."""
+"""Idle clients that use up the descriptors: discovery, workers and callbacks must still be served."""
 
 import json
 import resource
@@ -11,21 +11,21 @@
 from carthinge.net.http import Address
 from carthinge.net.read_timeouts import READ_TIMEOUT
 
-TIGHT = 64  # descriptors: what is not kept back leaves slots for ten connections
+TIGHT = 64  # descriptors: after the reserve, ten slots for connections remain
 
 
-def filled(program, dial, half=b""):
-    """Clients by far more than there are slots, that say nothing or never end what they begin to say."""
-    clients = [dial(program).send(half) for _ in range(5 * program.frontend.slots.most)]
+def filled(program, dial, partial=b""):
+    """Connect five times as many clients as there are slots, silent or with a partial request."""
+    clients = [dial(program).send(partial) for _ in range(5 * program.frontend.slots.most)]
     turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.most)
     return clients
 
 
-@pytest.mark.parametrize("half", [b"", b"GET /up HT"], ids=["silent", "half a request"])
-def test_a_job_goes_its_whole_way_while_idle_clients_fill_the_descriptors(serve, dial, worker, half):
+@pytest.mark.parametrize("partial", [b"", b"GET /up HT"], ids=["silent", "partial request"])
+def test_job_completes_despite_idle_clients(serve, dial, worker, partial):
     program = serve(sockets=TIGHT)
     lists(program, member("s-0", worker.port))
-    filled(program, dial, half)
+    filled(program, dial, partial)
     let_pass(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
     peer = taken(worker, program)
@@ -37,7 +37,7 @@
     assert reading(client, program)[2] == b"r"
 
 
-def test_discovery_is_reached_when_it_is_back_while_idle_clients_fill_the_descriptors(serve, dial):
+def test_discovery_is_reached_despite_idle_clients(serve, dial):
     program = serve(sockets=TIGHT)
     filled(program, dial)
     turns(program, lambda: program.counters.watch_failures)  # it is down
@@ -50,7 +50,7 @@
     discovery.close()
 
 
-def test_those_that_say_nothing_leave_in_the_end(serve, dial):
+def test_silent_clients_are_all_closed(serve, dial):
     program = serve(sockets=TIGHT)
     clients = filled(program, dial)
     let_pass(program, READ_TIMEOUT * 2)
@@ -59,23 +59,23 @@
     turns(program, lambda: len(program.frontend.slots) == 0)
 
 
-def test_a_limit_of_the_process_that_is_lower_than_the_settings_one_counts(make_program):
-    """ConnectionSlots were shared out by the number that was told: accepting took the last descriptor."""
+def test_lower_process_limit_applies(make_program):
+    """Guards against slots computed from the configured limit: accepting took the last descriptor."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    told = make_program(sockets=400)
+    unlimited = make_program(sockets=400)
     resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
     try:
-        held = make_program(sockets=400)
+        limited = make_program(sockets=400)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert (
-        held.frontend.slots.most + held.worker_client.most
+        limited.frontend.slots.most + limited.worker_client.most
         < 200
-        < told.frontend.slots.most + told.worker_client.most
+        < unlimited.frontend.slots.most + unlimited.worker_client.most
     )
 
 
-def test_the_real_process_answers_beside_hundreds_of_idle_clients(tmp_path):
+def test_real_process_serves_despite_idle_clients(tmp_path):
     with World(tmp_path, sockets=128, settings=SETTINGS) as world:
         idle = [world.connect() for _ in range(300)]
         client = world.submit("a1")
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -1,4 +1,4 @@
-"""Discovery that fails: a change counts as told 6 s after discovery had it and could be reached."""
+"""Failures of discovery: a change must be known 6 s after discovery has it and is reachable."""
 
 import errno
 import json
@@ -18,7 +18,7 @@
 from carthinge.net.loop import MICROSECOND
 from carthinge.net.worker_directory import number_of
 
-TOLD_AFTER = timedelta(seconds=6)
+MAX_PROPAGATION = timedelta(seconds=6)
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def watching(serve, discovery):
-    """A program with its first call of discovery, and the connection that it came on."""
+    """A program that has made its first call of discovery, and the connection of that call."""
     program = serve()
     program.watch.move(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
@@ -36,16 +36,16 @@
     return program, peer
 
 
-def tell(program, peer, revision, *members, complete=True):
-    """An answer of discovery, and the call after it."""
+def answer(program, peer, revision, *members, complete=True):
+    """Answer a call of discovery; return the request line of the next call."""
     body = json.dumps({"revision": revision, "complete": complete, "members": members}, indent=4).encode()
     peer.answer(200, body)
     return reading(peer, program)[0]
 
 
-def passes(program, span):
-    """So much time, a little at a time."""
-    until = program.loop.clock.now() + span
+def advance(program, duration):
+    """Advance the clock in small steps with a turn of the loop after each."""
+    until = program.loop.clock.now() + duration
     while program.loop.clock.now() < until:
         let_pass(program, timedelta(milliseconds=50))
         program.loop.turn(idle=False)
@@ -58,10 +58,9 @@
     ask_within=st.integers(1_000_000, 60_000_000),
     seed=st.integers(0, 2**32),
 )
-def test_however_often_it_failed_a_call_and_the_pause_before_it_stay_below_the_term(
-    failures, instances, ask_within, seed
-):
-    """The pause grew with each failure, to as much as ten seconds: so long after its return was it called."""
+def test_retry_pause_and_timeout_stay_below_limit(failures, instances, ask_within, seed):
+    """Guards against a pause that grows with each failure, which reached ten seconds, so that a recovered
+    discovery is called too late."""
     gateway = started(settings(subscribe=True, instances=instances, ask_within=ask_within), 1, seed=seed)
     now = 30_000_000
     gateway.handle(now, [])
@@ -71,81 +70,81 @@
         paused = now
         while not of(io.Watch, gateway.handle(now, [io.Timer(0)])):
             now += 50_000
-    assert (now - paused) * MICROSECOND + RESPONSE_MARGIN < TOLD_AFTER
+    assert (now - paused) * MICROSECOND + RESPONSE_MARGIN < MAX_PROPAGATION
     few = min(instances, 100) == instances
-    assert not few or (now - paused) * MICROSECOND + RETRY_WAIT + RETRY_RESPONSE_MARGIN < TOLD_AFTER
+    assert not few or (now - paused) * MICROSECOND + RETRY_WAIT + RETRY_RESPONSE_MARGIN < MAX_PROPAGATION
 
 
-def test_after_a_failure_an_answer_is_due_at_once_and_not_waited_for_long(watching, discovery):
-    """A watch of many seconds begun then, and fallen silent, kept the list old for all of these."""
+def test_call_after_failure_has_short_timeout(watching, discovery):
+    """Guards against a long watch right after a failure: without a response, it kept the list outdated."""
     program, peer = watching
-    assert "wait=1000" in tell(program, peer, 9, member("s-0", 1))
+    assert "wait=1000" in answer(program, peer, 9, member("s-0", 1))
     peer.close()
     turns(program, lambda: program.counters.watch_failures == 1)
-    passes(program, timedelta(seconds=1))
+    advance(program, timedelta(seconds=1))
     silent = taken(discovery, program)
     assert reading(silent, program)[0] == "GET /discovery/hosts?index=9&wait=1 HTTP/1.1"
-    passes(program, RETRY_WAIT + RETRY_RESPONSE_MARGIN + timedelta(seconds=2))
+    advance(program, RETRY_WAIT + RETRY_RESPONSE_MARGIN + timedelta(seconds=2))
     again = taken(discovery, program)
     reading(again, program)
-    assert silent.ended() and "wait=1000" in tell(program, again, 10, member("s-0", 1))
+    assert silent.ended() and "wait=1000" in answer(program, again, 10, member("s-0", 1))
 
 
 @pytest.mark.parametrize("instances", [1, 200])
-def test_a_watch_that_falls_silent_is_made_anew_within_its_wait_and_two_seconds(serve, discovery, instances):
+def test_silent_watch_is_renewed_after_its_wait(serve, discovery, instances):
     program = serve(settings={**SETTINGS, "instances": instances})
     program.watch.move(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
     reading(peer, program)
-    line = tell(program, peer, 9, member("s-0", 1))
+    line = answer(program, peer, 9, member("s-0", 1))
     wait = timedelta(milliseconds=int(line.split("wait=")[1].split()[0]))
-    passes(program, wait + RESPONSE_MARGIN + timedelta(milliseconds=500))
+    advance(program, wait + RESPONSE_MARGIN + timedelta(milliseconds=500))
     again = taken(discovery, program)
     assert reading(again, program)[0].endswith("index=9&wait=1 HTTP/1.1") and peer.ended()
 
 
 @pytest.mark.parametrize("complete", [True, False])
-def test_an_older_list_takes_nothing_back(watching, complete):
-    """It would have a worker ready again that was told to drain."""
+def test_older_list_is_not_applied(watching, complete):
+    """Guards against an older list that makes a draining worker ready again."""
     program, peer = watching
     ready = member("s-0", 1)
     drained = member("s-0", 1, phase="Terminating")
-    assert "index=9&" in tell(program, peer, 9, drained)
-    line = tell(program, peer, 8, ready, complete=complete)
-    assert line == "GET /discovery/hosts HTTP/1.1", "what counts now is its whole list"
+    assert "index=9&" in answer(program, peer, 9, drained)
+    line = answer(program, peer, 8, ready, complete=complete)
+    assert line == "GET /discovery/hosts HTTP/1.1", "the whole list must be requested"
     assert program.table.ready == set() and program.table.targets[number_of("s-0")].left
-    assert "index=10&" in tell(program, peer, 10, ready)
+    assert "index=10&" in answer(program, peer, 10, ready)
     assert program.table.ready == {"s-0"}
 
 
-def test_a_discovery_that_has_begun_anew_is_believed_by_its_whole_list(watching):
-    """Its revisions begin anew too, and a watch from one of the old ones would wait for ever."""
+def test_restarted_discovery_is_trusted_by_whole_list(watching):
+    """Its revisions restart as well, so a watch from an old revision would wait forever."""
     program, peer = watching
-    assert "index=900&" in tell(program, peer, 900, member("s-0", 1))
-    tell(program, peer, 2, complete=False)
-    assert "index=2&" in tell(program, peer, 2, member("s-1", 1))
+    assert "index=900&" in answer(program, peer, 900, member("s-0", 1))
+    answer(program, peer, 2, complete=False)
+    assert "index=2&" in answer(program, peer, 2, member("s-1", 1))
     assert program.table.ready == {"s-1"}
 
 
-def test_a_move_while_a_call_is_open_and_answered_in_the_same_turn(watching):
-    """The answer of the old discovery came after the move, and would have counted for the new one."""
+def test_response_of_old_discovery_ignored_after_move(watching):
+    """The old discovery's response is unread when the address changes; it must not count for the new one."""
     program, old = watching
-    assert "index=9&" in tell(program, old, 9, member("s-0", 1))
+    assert "index=9&" in answer(program, old, 9, member("s-0", 1))
     moved = Listener()
     body = json.dumps({"revision": 12, "complete": True, "members": []}).encode()
-    old.answer(200, body)  # unread when the move comes
+    old.answer(200, body)  # still unread when the address changes
     program.watch.move(Address("127.0.0.1", moved.port))
     peer = taken(moved, program)
     assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1" and old.ended()
     assert program.table.ready == {"s-0"} and program.table.revision is None
-    assert "index=3&" in tell(program, peer, 3, member("s-1", 1))
+    assert "index=3&" in answer(program, peer, 3, member("s-1", 1))
     moved.close()
 
 
-def test_a_move_after_a_failure_in_the_same_turn_keeps_the_new_call(serve, discovery):
-    """The failure of the old one was told a moment later, and ended the call that had begun meanwhile."""
+def test_move_after_failure_keeps_new_call(serve, discovery):
+    """Guards against the failure of the old call, reported a turn later, ending the new one."""
     program = serve()
-    faulty(program).fail("connect", errno.ECONNREFUSED)  # told at once, and not by the selector
+    faulty(program).fail("connect", errno.ECONNREFUSED)  # fails in the call itself, not by a selector event
     program.watch.move(Address("127.0.0.1", 1))
     program.watch.move(Address("127.0.0.1", discovery.port))
     call = program.watch._caller.call
@@ -158,33 +157,33 @@
 
 
 @pytest.mark.parametrize("cut", ["half a line", "reset"])
-def test_a_drain_in_the_instant_of_its_return_is_heard(watching, discovery, cut):
-    """It breaks off, is down for a while, and has a worker drained as it comes back."""
+def test_drain_at_return_of_discovery_is_applied(watching, discovery, cut):
+    """Discovery breaks a connection off, is down for a while, and drains a worker as it returns."""
     program, peer = watching
-    tell(program, peer, 9, member("s-0", 1))
+    answer(program, peer, 9, member("s-0", 1))
     if cut == "half a line":
         peer.send(b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"revision": 10, "compl')
-        passes(program, timedelta(milliseconds=400))
+        advance(program, timedelta(milliseconds=400))
     else:
         peer.close()
     turns(program, lambda: program.counters.watch_failures == 1)
     discovery.sock.listen(0)
-    for _ in range(6):  # calls that are refused or answered with a failure
-        passes(program, timedelta(seconds=2))
+    for _ in range(6):  # calls that are answered with an error
+        advance(program, timedelta(seconds=2))
         taken(discovery, program).answer(503)
         turns(program, lambda: program.watch.state is WatchState.PAUSING)
-    passes(program, timedelta(seconds=2))
+    advance(program, timedelta(seconds=2))
     back = taken(discovery, program)
     reading(back, program)
-    tell(program, back, 10, member("s-0", 1, phase="Terminating"), complete=False)
+    answer(program, back, 10, member("s-0", 1, phase="Terminating"), complete=False)
     assert program.table.targets[number_of("s-0")].left
 
 
-def test_a_list_that_drains_a_worker_while_an_attempt_to_it_is_connecting(dial, watching, monkeypatch):
-    """Nothing of it goes out, also where the list and the connection come up in one turn, in this order."""
+def test_connecting_attempt_stops_when_worker_drains(dial, watching, monkeypatch):
+    """No byte is sent even if the list and the connect complete in one turn, in this order."""
     program, peer = watching
     worker = Listener()
-    tell(program, peer, 9, member("s-0", worker.port))
+    answer(program, peer, 9, member("s-0", worker.port))
     body = json.dumps(
         {"revision": 10, "complete": False, "members": [member("s-0", worker.port, phase="Terminating")]}
     ).encode()
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -1,4 +1,4 @@
-"""System calls that a signal interrupts, or that want memory for a moment: nothing is broken by that."""
+"""System calls that fail temporarily, by a signal or a shortage of memory, break no connection."""
 
 import errno
 import socket
@@ -12,17 +12,17 @@
 from carthinge.net.loop import Loop
 
 CALLS = ("connect", "accept", "receive", "peek", "send")
-PASSING = (errno.EINTR, errno.ENOMEM, errno.ENOBUFS)
+TEMPORARY = (errno.EINTR, errno.ENOMEM, errno.ENOBUFS)
 
 
-@pytest.mark.parametrize("error", PASSING, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", TEMPORARY, ids=errno.errorcode.get)
 @pytest.mark.parametrize("call", CALLS)
-def test_a_call_that_fails_for_a_moment_ends_no_connection_and_no_attempt(serve, dial, worker, call, error):
-    """An interrupted send was taken for a broken connection: the client's answer was lost with it."""
+def test_temporary_failure_breaks_nothing(serve, dial, worker, call, error):
+    """Guards against an interrupted send treated as a broken connection, which lost the client's response."""
     program = serve()
     lists(program, member("s-0", worker.port))
-    resting = dial(program).send(UP)
-    assert reading(resting, program)[0].endswith("200 OK")
+    idle = dial(program).send(UP)
+    assert reading(idle, program)[0].endswith("200 OK")
     sockets = faulty(program)
     sockets.fail(call, error)
     client = dial(program).send(job("a1", kind="charge"))
@@ -34,14 +34,14 @@
     sockets.fail(call, error)
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
-    resting.send(UP)
-    assert reading(resting, program)[0].endswith("200 OK")
+    idle.send(UP)
+    assert reading(idle, program)[0].endswith("200 OK")
     counters = program.counters
     assert (counters.attempts, counters.served, counters.client_gone) == (1, 1, 0)
 
 
 @pytest.mark.parametrize("call", ["send", "receive_with_sockets"])
-def test_the_channel_of_an_upgrade_survives_an_interrupted_call(call):
+def test_upgrade_channel_survives_interrupted_call(call):
     loop, got, lost = Loop(), [], []
     here, there = socket.socketpair(socket.AF_UNIX)
     loop.sockets = FaultySockets()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop and its clock by themselves."""
+"""The event loop, its clock and its streams."""
 
 import select
 import socket
@@ -9,7 +9,7 @@
 from carthinge.net.stream import Stream
 
 
-def test_a_timer_that_is_due_in_a_century_does_not_overflow_the_selector():
+def test_timer_in_a_century_does_not_overflow():
     loop = Loop()
     here, there = socket.socketpair()
     with here, there:
@@ -27,7 +27,7 @@
         self.ends = []
 
     def received(self, data):
-        raise AssertionError("nothing is sent here")
+        raise AssertionError("unexpected data")
 
     def flushed(self):
         pass
@@ -36,7 +36,7 @@
         self.ends.append(why)
 
 
-def test_a_peer_that_does_not_read_is_cut_off_before_its_answers_fill_the_memory():
+def test_peer_that_never_reads_is_closed():
     loop, owner = Loop(), Owner()
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
@@ -54,11 +54,11 @@
     loop.close()
 
 
-def test_timers_come_in_the_order_of_their_times_and_not_after_they_are_cancelled():
+def test_timers_run_in_order_unless_cancelled():
     loop = Loop()
     seen = []
-    for name, span in (("second", 2), ("first", 1), ("cancelled", 0)):
-        timer = loop.call_after(timedelta(milliseconds=span), lambda name=name: seen.append(name))
+    for name, delay_ms in (("second", 2), ("first", 1), ("cancelled", 0)):
+        timer = loop.call_after(timedelta(milliseconds=delay_ms), lambda name=name: seen.append(name))
     timer.cancel()
     while len(seen) < 2:
         loop.turn()
@@ -66,17 +66,17 @@
     loop.close()
 
 
-def test_a_start_keeps_its_time_and_a_long_ago_one_is_zero():
+def test_start_time_is_stable_and_old_one_zero():
     clock = Loop().clock
     recent = int((time.time() - 3) * 1000)
     started = clock.of_unix_ms(recent)
-    assert started == clock.of_unix_ms(recent)  # another time would look like another start
+    assert started == clock.of_unix_ms(recent)  # a different time would look like a restart
     assert timedelta(seconds=2) < clock.now() - started < timedelta(seconds=60)
     assert clock.of_unix_ms(1) == timedelta()
 
 
-def test_timers_that_were_cancelled_do_not_stay_until_they_are_due():
-    """Guards against memory that grows with the rate of jobs times their deadlines."""
+def test_cancelled_timers_are_swept():
+    """Guards against memory use that grows with the job rate times the deadlines."""
     loop = Loop()
     seen = []
     kept = [loop.call_after(timedelta(milliseconds=1), lambda n=n: seen.append(n)) for n in range(10)]
@@ -89,8 +89,8 @@
     loop.close()
 
 
-def test_the_last_answer_on_a_connection_has_its_time_for_as_long_as_its_reader_goes_on(monkeypatch):
-    """Cut off in its middle, it would be no whole answer."""
+def test_slow_reader_gets_whole_last_response(monkeypatch):
+    """A stream closed by the linger timeout while its peer still reads would truncate the response."""
     monkeypatch.setattr("carthinge.net.stream.LINGER_TIMEOUT", timedelta())
     loop, owner, answer = Loop(), Owner(), b"x" * 400_000
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -108,7 +108,7 @@
             while len(read) < len(answer):
                 assert select.select([there], [], [], 10)[0]
                 part = there.recv(65536)
-                assert part, f"{len(read)} bytes, then the end: {owner.ends}"
+                assert part, f"{len(read)} bytes, then closed: {owner.ends}"
                 read += part
                 if stream.unsent and select.select([], [sock], [], 0)[1]:
                     loop.turn(idle=False)
--- a/tests/test_read_timeouts.py
+++ b/tests/test_read_timeouts.py
@@ -1,4 +1,4 @@
-"""Until when a request that has begun has to be whole, drawn at random over how its parts may come."""
+"""Deadlines of partly received requests, checked for random arrival times of their parts."""
 
 from datetime import timedelta
 
@@ -7,30 +7,30 @@
 
 from carthinge.net.read_timeouts import LAST_CHANCE, MAX_REQUEST_DURATION, PartialRequest
 
-OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
-HELD_UP = timedelta(milliseconds=150)  # so long a scheduler may be, at the most
+OWED_WITHIN = timedelta(seconds=3)  # from the standing test, not from the program
+MAX_DELAY = timedelta(milliseconds=150)  # of the scheduler
 SECOND = timedelta(seconds=1)
-SPANS = st.integers(0, 20_000).map(lambda count: timedelta(milliseconds=count))
+DURATIONS = st.integers(0, 20_000).map(lambda count: timedelta(milliseconds=count))
 
 
-@given(began=SPANS, stopped=SPANS)
-def test_one_that_stops_is_overdue_within_what_is_owed_from_its_beginning_and_its_last_part(began, stopped):
+@given(began=DURATIONS, stopped=DURATIONS)
+def test_stopped_request_is_overdue_in_time(began, stopped):
     partial = PartialRequest(began, began, began + stopped)
-    owed = max(began, partial.progressed) + OWED_WITHIN
-    assert partial.overdue_at() + HELD_UP < owed
+    latest = max(began, partial.progressed) + OWED_WITHIN
+    assert partial.overdue_at() + MAX_DELAY < latest
     if stopped <= SECOND:
-        assert partial.overdue_at() + HELD_UP < began + OWED_WITHIN
+        assert partial.overdue_at() + MAX_DELAY < began + OWED_WITHIN
 
 
-@given(began=SPANS, waited=SPANS)
-def test_one_that_waited_to_be_read_has_its_last_chance_and_no_more_than_what_is_owed(began, waited):
+@given(began=DURATIONS, waited=DURATIONS)
+def test_late_read_request_gets_last_chance_only(began, waited):
     partial = PartialRequest(began, began + waited, began)
     assert partial.overdue_at() >= partial.first_read + LAST_CHANCE
-    assert partial.overdue_at() + HELD_UP < max(began + OWED_WITHIN, partial.first_read + 2 * LAST_CHANCE)
+    assert partial.overdue_at() + MAX_DELAY < max(began + OWED_WITHIN, partial.first_read + 2 * LAST_CHANCE)
 
 
-@given(began=SPANS, waited=SPANS, pauses=st.lists(st.integers(0, 900), max_size=40))
-def test_a_writer_that_goes_on_is_never_overdue_before_its_whole_time(began, waited, pauses):
+@given(began=DURATIONS, waited=DURATIONS, pauses=st.lists(st.integers(0, 900), max_size=40))
+def test_steady_writer_is_not_overdue_early(began, waited, pauses):
     partial = PartialRequest(began, began + waited, began + waited)
     now = partial.first_read
     for pause in pauses:
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Clients that write slowly, stop in the middle of a request or say nothing, turn by turn."""
+"""Clients that write slowly, stop in the middle of a request or send nothing, one turn at a time."""
 
 from datetime import timedelta
 
@@ -10,23 +10,23 @@
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
 from carthinge.net.stream import LINGER_TIMEOUT
 
-OWED_WITHIN = timedelta(seconds=3)  # by the standing test's page, and not by the program
+OWED_WITHIN = timedelta(seconds=3)  # from the standing test, not from the program
 MANY = {**SETTINGS, "instances": 5}
 
 
 def one_read(program):
-    """What a client has just sent is read, and what is due by then done."""
-    made = program.loop.sockets = FaultySockets()
-    turns(program, lambda: made.made["receive"])
+    """Run turns until a client's data has been read."""
+    sockets = program.loop.sockets = FaultySockets()
+    turns(program, lambda: sockets.made["receive"])
 
 
-def test_one_that_says_nothing_is_ended_and_one_that_writes_slowly_is_not(serve, dial):
+def test_silent_client_is_closed_slow_writer_served(serve, dial):
     program = serve()
     silent, slow = dial(program), dial(program).send(UP[:4])
     turns(program, lambda: len(program.frontend.slots.fresh) == 2)
     for _ in range(3):
         program.loop.turn(idle=False)
-    for at in range(4, len(UP)):  # for longer than a request that stops may take
+    for at in range(4, len(UP)):  # for longer than a stopped request may take
         let_pass(program, timedelta(milliseconds=200))
         slow.send(UP[at : at + 1])
         one_read(program)
@@ -34,7 +34,7 @@
     assert reading(slow, program)[0].endswith("200 OK") and program.counters.bad_input == 0
 
 
-def test_a_slow_writer_may_pause_for_most_of_the_time_that_is_owed_to_one_that_stops(serve, dial):
+def test_slow_writer_may_pause_between_parts(serve, dial):
     program = serve()
     slow = dial(program).send(UP[:4])
     turns(program, lambda: program.frontend.slots.fresh)
@@ -48,8 +48,8 @@
     assert reading(slow, program)[0].endswith("200 OK")
 
 
-@pytest.mark.parametrize("asked", [False, True], ids=["its first", "a later one"])
-def test_one_that_never_ends_its_request_is_told_so_within_what_is_owed(serve, dial, asked):
+@pytest.mark.parametrize("asked", [False, True], ids=["first request", "later request"])
+def test_unfinished_request_gets_408_in_time(serve, dial, asked):
     program = serve()
     client = dial(program)
     if asked:
@@ -57,12 +57,12 @@
         assert reading(client, program)[0].endswith("200 OK")
     client.send(UP[:4])
     turns(program, lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].began())
-    let_pass(program, OWED_WITHIN - timedelta(milliseconds=150))  # it may be held up for that
+    let_pass(program, OWED_WITHIN - timedelta(milliseconds=150))  # margin for delays of the scheduler
     program.loop.turn(idle=False)
     assert reading(client, program)[0].endswith("408 Request Timeout") and client.ended()
 
 
-def test_one_that_writes_on_without_end_is_told_so_too(serve, dial):
+def test_endless_request_gets_408(serve, dial):
     program = serve()
     client = dial(program).send(b"GET /up HTTP/1.1\r\nX: ")
     turns(program, lambda: program.frontend.slots.fresh)
@@ -75,8 +75,8 @@
     assert program.counters.bad_input and reading(client, program)[0].endswith("408 Request Timeout")
 
 
-def test_requests_sent_ahead_that_come_cut_in_their_middle_are_each_on_their_own_clock(serve, dial):
-    """As long as each of them is whole in time, their client writes well."""
+def test_each_pipelined_request_has_own_timeout(serve, dial):
+    """A client is not slow as long as each of its pipelined requests is complete in time."""
     program = serve()
     client = dial(program).send(UP[:9])
     for _ in range(40):
@@ -86,9 +86,9 @@
     assert program.counters.bad_input == 0
 
 
-def test_the_place_of_a_request_that_has_begun_is_the_last_to_go(serve, dial):
+def test_partial_request_is_evicted_last(serve, dial):
     program = serve(sockets=64)
-    begun = [dial(program).send(UP[:4]) for _ in range(4)]
+    partial = [dial(program).send(UP[:4]) for _ in range(4)]
     turns(program, lambda: len(program.frontend.slots.fresh) == 4)
     for _ in range(3):
         program.loop.turn(idle=False)
@@ -97,12 +97,12 @@
     let_pass(program, timedelta(seconds=1))
     turns(program, lambda: program.counters.connections_in_closed_early == 4)
     assert all(peer.ended() for peer in silent[:4])
-    for client in begun:
+    for client in partial:
         client.send(UP[4:])
         assert reading(client, program)[0].endswith("200 OK")
 
 
-def test_a_reader_that_goes_on_too_slowly_is_cut_off_in_the_end(serve, dial):
+def test_too_slow_reader_is_closed_in_drain(serve, dial):
     program = serve(settings=MANY)
     client = dial(program).send(UP)
     drained(program)
@@ -112,8 +112,8 @@
     assert client.status() == 503
 
 
-def test_nothing_follows_the_last_answer_of_a_connection_once_its_half_request_is_overdue(serve, dial):
-    """The timer of the half request went on after the connection's last answer, and wrote behind it."""
+def test_nothing_sent_after_last_response(serve, dial):
+    """Guards against the timer of a partial request writing a 408 after the connection's last response."""
     program = serve()
     client = dial(program).send(UP[:9])
     turns(program, lambda: program.frontend.slots.fresh)
@@ -128,8 +128,8 @@
     assert client.ended()
 
 
-def test_a_client_that_waits_to_be_told_to_go_ahead_behind_another_request_is_told(serve, dial, worker):
-    """It was never told, waited for the word, and was turned away as one that had stopped."""
+def test_pipelined_expect_continue_is_answered(serve, dial, worker):
+    """Guards against a 100 Continue that is never sent, so that the waiting client counts as stopped."""
     program = serve()
     lists(program, member("s-0", worker.port))
     head, body = job("a2", Expect="100-continue", body=b"large").split(b"\r\n\r\n")
@@ -141,5 +141,5 @@
         dial(program).send(call_back("s-0", name, result=name))
         assert reading(client, program)[2] == name.encode()
         if name == "a1":
-            assert client.read()[0] == "HTTP/1.1 100 Continue"  # it came with the answer
+            assert client.read()[0] == "HTTP/1.1 100 Continue"  # was sent with the response
             client.send(body)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail in the ways that Linux documents: rules hold, nothing spins, listeners go on."""
+"""System calls that fail with errors documented for Linux: no lost jobs, no busy loops, no dead listeners."""
 
 import errno
 import socket
@@ -20,7 +20,7 @@
 
 
 def serve_one(program, dial, worker, name="a1"):
-    """A job from its client to its answer."""
+    """Run a job from its client's request to the response."""
     client = dial(program).send(job(name))
     peer = taken(worker, program)
     reading(peer, program)
@@ -32,8 +32,8 @@
 
 
 @pytest.mark.parametrize("error", LISTENER, ids=errno.errorcode.get)
-def test_an_accept_that_fails_pauses_the_listener_and_it_goes_on(serve, dial, error):
-    """A listener stays ready while its accept fails: without a pause the loop would turn for nothing."""
+def test_failed_accept_pauses_listener(serve, dial, error):
+    """A listener stays ready while accept fails: without a pause the loop would spin."""
     program = serve()
     sockets = faulty(program)
     sockets.fail("accept", *[error] * 3)
@@ -42,7 +42,7 @@
         turns(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["accept"] == 1, "it was tried again within the pause"
+        assert sockets.made["accept"] == 1, "accept was retried within the pause"
     for _ in range(3):
         let_pass(program, ACCEPT_PAUSE)
         program.loop.turn(idle=False)
@@ -51,7 +51,7 @@
     assert program.counters.accept_pauses == 3
 
 
-def test_one_that_was_gone_before_it_was_accepted_keeps_nobody_waiting(serve, dial):
+def test_aborted_connection_delays_no_accept(serve, dial):
     program = serve()
     sockets = faulty(program)
     sockets.fail("accept", errno.ECONNABORTED, errno.EPROTO)
@@ -60,7 +60,7 @@
     assert client.status() == 200 and program.counters.accept_pauses == 0
 
 
-def test_accepts_that_are_aborted_without_end_do_not_spin(serve, dial):
+def test_endless_aborted_accepts_do_not_spin(serve, dial):
     program = serve()
     sockets = faulty(program)
     sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
@@ -73,8 +73,8 @@
 
 
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
-def test_a_shortage_of_this_machine_is_waited_out_and_no_worker_is_to_blame(serve, dial, worker, error):
-    """Each failed connect took one of the job's attempts, and a strike was put on each of the workers."""
+def test_local_shortage_is_not_blamed_on_worker(serve, dial, worker, error):
+    """Guards against failed connects that each use up an attempt and count as a strike against a worker."""
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
@@ -84,7 +84,7 @@
         turns(program, lambda: sockets.made["connect"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["connect"] == 1, "it was tried again at once"
+        assert sockets.made["connect"] == 1, "it was retried at once"
     for _ in range(5):
         let_pass(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
@@ -94,7 +94,7 @@
     client.close()
 
 
-def test_a_shortage_that_lasts_ends_the_attempt_and_leaves_the_worker_its_name(serve, dial, worker):
+def test_lasting_shortage_ends_attempt_without_strike(serve, dial, worker):
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
@@ -104,13 +104,13 @@
         program.loop.turn(idle=False)
         program.tracker.decide()
         let_pass(program, timedelta(milliseconds=100))
-    assert reading(client, program)[0].startswith("HTTP/1.1 50")  # once, and in its time
+    assert reading(client, program)[0].startswith("HTTP/1.1 50")  # exactly one response, in time
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
     assert only.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
 
 
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
-def test_discovery_is_called_again_after_a_shortage(serve, worker, error):
+def test_discovery_is_retried_after_shortage(serve, worker, error):
     program = serve()
     sockets = faulty(program)
     sockets.fail("connect", error, error)
@@ -125,8 +125,8 @@
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
-def test_a_worker_s_connection_that_breaks_before_the_202_is_a_reset(serve, dial, worker, error):
-    """Whatever number it has: the job may have run, and of such a class it is not sent again."""
+def test_break_before_202_is_a_reset(serve, dial, worker, error):
+    """Whatever the error: the job may have run, and jobs of such a class are not sent again."""
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
@@ -141,19 +141,19 @@
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
-def test_a_request_that_breaks_off_before_its_last_byte_has_not_run(serve, dial, worker, error):
+def test_break_before_last_byte_is_not_a_run(serve, dial, worker, error):
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.after("connect_error", lambda sock: sockets.fail("send", error))
     client = dial(program).send(job("a1", kind="charge"))
     turns(program, lambda: program.counters.attempt_connect_failed)
-    assert program.counters.failed == program.counters.attempt_reset == 0  # it may be tried again
+    assert program.counters.failed == program.counters.attempt_reset == 0  # it may be retried
     client.close()
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
-def test_a_client_s_connection_that_breaks_is_a_client_that_has_left(serve, dial, error):
+def test_broken_client_connection_counts_as_gone(serve, dial, error):
     program = serve()
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
@@ -165,8 +165,8 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
-def test_an_answer_waits_for_buffers_of_this_machine(serve, dial, error):
-    """It was taken for a broken connection, and the answer was lost with it."""
+def test_response_waits_for_socket_buffers(serve, dial, error):
+    """Guards against a shortage treated as a broken connection, which lost the response."""
     program = serve()
     sockets = faulty(program)
     sockets.fail("send", error, error)
@@ -175,12 +175,12 @@
         turns(program, lambda: sockets.made["send"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["send"] == 1, "it was tried again at once"
+        assert sockets.made["send"] == 1, "it was retried at once"
     turns(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
     assert reading(client, program)[0].endswith("200 OK")
 
 
-def test_a_close_that_fails_ends_nothing_but_its_connection(serve, dial, monkeypatch):
+def test_failed_close_ends_only_its_connection(serve, dial, monkeypatch):
     program = serve()
     close, failed = socket.socket.close, []
 
@@ -202,16 +202,16 @@
     assert client.status() == 200
 
 
-def test_a_selector_without_room_costs_one_connection(serve, dial, monkeypatch):
-    """epoll_ctl fails with ENOSPC at the user's limit of watches: that ended the program."""
+def test_full_selector_costs_one_connection(serve, dial, monkeypatch):
+    """Guards against epoll_ctl's ENOSPC, at the user's limit of watches, ending the program."""
     program = serve()
     register, failing = program.loop._selector.register, [True]
 
-    def full(*given):
+    def full(*arguments):
         if failing:
             failing.clear()
             raise OSError(errno.ENOSPC, "no room")
-        return register(*given)
+        return register(*arguments)
 
     monkeypatch.setattr(program.loop._selector, "register", full, raising=False)
     first = dial(program)
@@ -222,14 +222,14 @@
     assert client.status() == 200
 
 
-def test_short_writes_and_reads_lose_nothing(serve, dial, worker):
-    """A byte at a time in both directions, on all connections of the program."""
+def test_short_writes_and_reads_lose_no_data(serve, dial, worker):
+    """Every call on every connection transfers one byte."""
     program = serve()
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     send, receive = sockets.send, sockets.receive
     sockets.send = lambda sock, data: send(sock, bytes(data[:1]))
-    sockets.receive = lambda sock, most: receive(sock, 1)
+    sockets.receive = lambda sock, max_bytes: receive(sock, 1)
     serve_one(program, dial, worker)
 
 
@@ -247,7 +247,7 @@
         self.ends.append(why)
 
 
-def test_a_reset_under_a_connection_in_the_loop_is_its_end_and_no_more():
+def test_reset_ends_only_its_stream():
     loop, owner = Loop(), Owner()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         there = socket.create_connection(listener.getsockname())
@@ -262,12 +262,12 @@
     loop.close()
 
 
-# ---- the channel between two processes, and datagrams ---------------------------------------------
+# ---- the upgrade channel, and datagrams ---------------------------------------------
 
 
 @pytest.mark.parametrize("error", LISTENER, ids=errno.errorcode.get)
-def test_an_upgrade_s_accept_that_fails_pauses_its_listener(serve, tmp_path, monkeypatch, error):
-    """It stayed ready with no descriptor left, and the loop turned for nothing."""
+def test_failed_upgrade_accept_pauses_listener(serve, tmp_path, monkeypatch, error):
+    """Guards against a loop that spins on a ready listener with no descriptor left."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     program = serve()
     sockets = faulty(program)
@@ -278,23 +278,23 @@
             turns(program, lambda: sockets.made["accept"])
             for _ in range(20):
                 program.loop.turn(idle=False)
-            assert sockets.made["accept"] == 1, "it was tried again within the pause"
+            assert sockets.made["accept"] == 1, "accept was retried within the pause"
         for _ in range(2):
             let_pass(program, ACCEPT_PAUSE)
             program.loop.turn(idle=False)
         turns(program, lambda: program.upgrade.paired)
 
 
-def test_a_connection_that_cannot_be_taken_over_ends_nothing_but_itself(serve, dial, worker, monkeypatch):
-    """epoll_ctl fails with ENOSPC at the user's limit of watches: that ended the process that takes over."""
+def test_failed_takeover_ends_only_its_connection(serve, dial, worker, monkeypatch):
+    """Guards against epoll_ctl's ENOSPC, at the user's limit of watches, ending the successor."""
     program = serve()
     register, failing = program.loop._selector.register, [True]
 
-    def full(*given):
+    def full(*arguments):
         if failing:
             failing.clear()
             raise OSError(errno.ENOSPC, "no room")
-        return register(*given)
+        return register(*arguments)
 
     monkeypatch.setattr(program.loop._selector, "register", full, raising=False)
     sock = socket.create_connection(("127.0.0.1", worker.port))
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EPIPE, errno.ETOOMANYREFS], ids=errno.errorcode.get)
-def test_a_socket_that_could_not_be_handed_over_is_kept(error):
+def test_socket_not_handed_over_is_kept(error):
     loop, lost = Loop(), []
     here, there = socket.socketpair(socket.AF_UNIX)
     client, _ = socket.socketpair(socket.AF_UNIX)
@@ -323,7 +323,7 @@
 
 
 @pytest.mark.parametrize("error", [*LOCAL, errno.ECONNREFUSED, errno.EPERM], ids=errno.errorcode.get)
-def test_a_datagram_that_fails_is_counted_and_the_next_ones_go_out(make_program, tmp_path, error):
+def test_failed_datagram_is_counted_and_next_sent(make_program, tmp_path, error):
     file = tmp_path / "carthinge.toml"
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -1,4 +1,4 @@
-"""What comes of clients whose bytes arrive within one and the same turn, or long before they are read."""
+"""Input that arrives within the same turn as other events, or long before it is read."""
 
 import threading
 import time
@@ -10,11 +10,11 @@
 from carthinge.net.deadlines import ANSWER_MARGIN
 from carthinge.net.listener import MAX_ACCEPTS_PER_TURN
 
-TIGHT = 64  # descriptors: what is not kept back leaves slots for ten connections
+TIGHT = 64  # descriptors: after the reserve, ten slots for connections remain
 
 
 def listener_first(program, monkeypatch):
-    """The order in which sockets are ready is the kernel's; this is the one that loses something."""
+    """Report the listener first: the kernel may choose any order, and this one can lose a request."""
     select, listening = program.loop._selector.select, program.frontend._listener._sock
 
     def sorted_select(timeout=None):
@@ -24,7 +24,7 @@
 
 
 def kept(program, dial):
-    """As many connections as there are slots, each answered once."""
+    """Fill all slots with connections that have had a response."""
     peers = []
     while len(program.frontend.slots) < program.frontend.slots.most:
         peers.append(dial(program).send(UP))
@@ -34,29 +34,30 @@
     return peers
 
 
-def test_no_kept_connection_makes_room_while_its_next_request_is_unread(serve, dial, monkeypatch):
-    """It was taken with its last byte: closed before it was read, it was lost, and reset what came before."""
+def test_kept_connection_with_unread_request_is_not_evicted(serve, dial, monkeypatch):
+    """Guards against an eviction before a received request is read: it was lost, and the reset destroyed
+    the previous response."""
     program = serve(sockets=TIGHT)
     peers = kept(program, dial)
     listener_first(program, monkeypatch)
-    late = dial(program)  # wants a place in the same turn
+    late = dial(program)  # needs a slot in the same turn
     for peer in peers:
         peer.send(UP)
     turns(program, lambda: program.counters.accept_pauses > 0)
     assert program.counters.connections_in_closed_early == 0
     for peer in peers:
         assert peer.status() == 200
-    turns(program, lambda: program.counters.connections_in > len(peers))  # and then one of them does
+    turns(program, lambda: program.counters.connections_in > len(peers))  # then one of them is evicted
     late.send(UP)
     turns(program, lambda: program.frontend.slots.fresh == {})
     assert late.status() == 200 and program.counters.connections_in_closed_early == 1
 
 
-def test_a_first_request_that_came_at_the_last_moment_is_read_and_not_cut_off(serve, dial, monkeypatch):
+def test_first_request_at_last_moment_is_read(serve, dial, monkeypatch):
     program = serve()
     peer = dial(program)
     turns(program, lambda: len(program.frontend.slots) == 1)
-    peer.send(UP)  # unread when the next look at those that are overdue comes
+    peer.send(UP)  # still unread at the next check for overdue connections
     monkeypatch.setattr(type(program.loop.clock), "HISTORY", program.loop.clock.HISTORY * 2)
     program.loop.now = program.loop.clock.now()
     program.frontend._check_fresh()
@@ -64,13 +65,13 @@
     assert peer.status() == 200
 
 
-def test_a_client_s_time_runs_while_its_request_waits_to_be_accepted_and_read(serve, dial):
-    """Counted from when it was read, the last answer would come as much too late as the loop was busy."""
+def test_deadline_includes_wait_for_accept(serve, dial):
+    """Counted from the read, the final response would be late by the time for which the loop was busy."""
     program = serve()
     turns(program, lambda: program.loop.turns > 3)
     first = program.loop.now
     peer = dial(program).send(job("a1", deadline="5000m"))
-    time.sleep(0.05)  # the loop is elsewhere
+    time.sleep(0.05)  # the loop is busy
     turns(program, lambda: program.tracker.tracked_requests)
     (tracked,) = program.tracker.tracked_requests.values()
     latest = first + timedelta(seconds=5)
@@ -78,7 +79,7 @@
     peer.close()
 
 
-def test_one_that_comes_while_the_loop_waits_has_all_of_its_time(serve, dial):
+def test_request_during_idle_wait_has_whole_deadline(serve, dial):
     program = serve()
     peer = dial(program)
     turns(program, lambda: program.frontend.slots.fresh)
@@ -92,15 +93,15 @@
     timer.join()
 
 
-def test_what_was_left_in_the_backlog_is_as_old_as_that(serve, dial):
-    """More than are accepted in a turn, and then nobody for a while: an old wait must not count then."""
+def test_backlog_wait_counts_towards_deadline(serve, dial):
+    """More connections than one turn accepts, then none for a while: the old wait must not count any more."""
     program = serve()
     turns(program, lambda: program.loop.turns > 3)
     first = program.loop.now
     peers = [dial(program).send(job(f"a{number}")) for number in range(MAX_ACCEPTS_PER_TURN * 2)]
     turns(program, lambda: len(program.tracker.tracked_requests) == len(peers))
-    given_up = {tracked.give_up for tracked in program.tracker.tracked_requests.values()}
-    assert given_up == {first + timedelta(seconds=5) - ANSWER_MARGIN}
+    deadlines = {tracked.give_up for tracked in program.tracker.tracked_requests.values()}
+    assert deadlines == {first + timedelta(seconds=5) - ANSWER_MARGIN}
     time.sleep(0.05)
     turns(program, lambda: program.loop.turns > 100)
     later = program.loop.now
@@ -109,7 +110,7 @@
     assert program.tracker.by_id["b1"].give_up >= later + timedelta(seconds=5) - ANSWER_MARGIN
 
 
-def test_a_request_whose_time_was_over_before_it_was_read_is_refused_at_once(serve, dial):
+def test_request_expired_before_read_is_shed_at_once(serve, dial):
     program = serve()
     turns(program, lambda: program.loop.turns > 3)
     peer = dial(program).send(job("a1", deadline="20m"))
@@ -118,8 +119,8 @@
     assert peer.status() == 503 and program.counters.attempts == 0
 
 
-def test_clients_that_wait_leave_room_for_the_call_backs_that_end_their_jobs(serve, dial):
-    """With every place taken by a waiting client, no worker could say that a job is done."""
+def test_waiting_clients_leave_room_for_callbacks(serve, dial):
+    """With a waiting client in every slot, no worker could report that a job is done."""
     program = serve(sockets=TIGHT)
     peers = [dial(program).send(job(f"a{number}")) for number in range(9)]
     counters = program.counters
@@ -135,8 +136,8 @@
     assert caller.status() == 204
 
 
-def test_one_who_comes_in_each_turn_is_not_taken_for_as_old_as_the_first_of_them(serve, dial):
-    """With all slots taken one is accepted a turn: the backlog is empty after each, which has to be seen."""
+def test_connection_in_each_turn_keeps_own_age(serve, dial):
+    """With all slots taken, one connection is accepted per turn; the backlog is empty after each."""
     program = serve(sockets=TIGHT)
     kept(program, dial)
     for _ in range(5):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock may be set either way at any time: spans are those of the monotonic clock."""
+"""Steps of the wall clock, which may be set at any time: durations use the monotonic clock."""
 
 import json
 import time
@@ -22,16 +22,16 @@
 
 
 class Machine:
-    """Both clocks of a machine, at a test's word."""
+    """Both clocks of a machine, controlled by a test."""
 
     def __init__(self, monkeypatch):
         self.monotonic, self.wall = timedelta(days=3), timedelta(days=20_000)
         monkeypatch.setattr(time, "monotonic_ns", lambda: self.monotonic // MICROSECOND * 1000)
         monkeypatch.setattr(time, "time_ns", lambda: self.wall // MICROSECOND * 1000)
 
-    def passes(self, span):
-        self.monotonic += span
-        self.wall += span
+    def advance(self, duration):
+        self.monotonic += duration
+        self.wall += duration
 
     def step(self, by):
         self.wall += by
@@ -46,24 +46,24 @@
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
-def test_a_start_before_a_step_and_one_after_it_are_both_as_old_as_they_are(machine, step):
+def test_starts_around_step_keep_their_age(machine, step):
     clock = Clock()
-    machine.passes(60 * S)
+    machine.advance(60 * S)
     clock.check_for_step(clock.now())
-    before, at = machine.wall_ms(), clock.now()
-    machine.passes(2 * S)
+    before, before_at = machine.wall_ms(), clock.now()
+    machine.advance(2 * S)
     clock.check_for_step(clock.now())
     machine.step(step)
     clock.check_for_step(clock.now())
-    machine.passes(2 * S)
-    after, then = machine.wall_ms(), clock.now()
-    machine.passes(S)
+    machine.advance(2 * S)
+    after, after_at = machine.wall_ms(), clock.now()
+    machine.advance(S)
     clock.check_for_step(clock.now())
-    assert clock.of_unix_ms(after) == then
-    told = clock.of_unix_ms(before)
-    later = told > at and step < timedelta()
-    assert told == at or later, "where it is open, the later of the possible times"
-    assert told <= clock.now()
+    assert clock.of_unix_ms(after) == after_at
+    converted = clock.of_unix_ms(before)
+    later = converted > before_at and step < timedelta()
+    assert converted == before_at or later, "of several possible times, the latest"
+    assert converted <= clock.now()
 
 
 @given(
@@ -76,12 +76,12 @@
     ),
     st.integers(0, 2**44),
 )
-def test_no_reading_is_in_the_future_or_before_all_time(steps, reading):
+def test_converted_readings_are_in_valid_range(steps, reading):
     with pytest.MonkeyPatch.context() as monkeypatch:
         machine = Machine(monkeypatch)
         clock = Clock()
-        for span, by in steps:
-            machine.passes(span)
+        for duration, by in steps:
+            machine.advance(duration)
             machine.step(by)
             clock.check_for_step(clock.now())
             just_now = clock.of_unix_ms(machine.wall_ms())
@@ -89,24 +89,24 @@
         assert timedelta() <= clock.of_unix_ms(reading) <= clock.now()
 
 
-def test_a_clock_that_is_set_again_and_again_takes_no_more_room(machine):
+def test_number_of_periods_is_limited(machine):
     clock = Clock()
     for _ in range(3 * MAX_PERIODS):
-        machine.passes(S)
+        machine.advance(S)
         machine.step(S)
         clock.check_for_step(clock.now())
     assert len(clock._periods) <= MAX_PERIODS + 1
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
-def test_a_worker_that_is_listed_again_after_a_step_has_not_started_anew(machine, step):
-    """Its start would be translated to another time, and all that was learned of it thrown away."""
+def test_step_is_not_taken_for_worker_restart(machine, step):
+    """Guards against a start converted to another time, which would discard all data about the worker."""
     clock = Clock()
     table = WorkerDirectory(read_site(Facts.from_nested(SETTINGS)), clock)
-    machine.passes(30 * S)
+    machine.advance(30 * S)
     named = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
     (first,) = table.take(named, Listing.WHOLE).entries
-    machine.passes(4 * S)
+    machine.advance(4 * S)
     machine.step(step)
     clock.check_for_step(clock.now())
     (again,) = table.take(named, Listing.WHOLE).entries
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
-def test_a_cold_worker_is_cold_after_a_step(serve, monkeypatch, step):
-    """An hour on, a worker that had just started was warm at once, and got what a warm one can do."""
+def test_cold_worker_stays_cold_after_step(serve, monkeypatch, step):
+    """Guards against a just started worker treated as warm after a step of an hour, and given a full load."""
     program = serve()
     real = time.time_ns
     program.loop.turn(idle=False)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
-def test_deadlines_and_timers_do_not_follow_the_wall_clock(serve, dial, monkeypatch, step):
+def test_deadlines_and_timers_ignore_wall_clock(serve, dial, monkeypatch, step):
     program = serve()
     client = dial(program).send(job("a1", deadline="5000m"))
     turns(program, lambda: program.tracker.tracked_requests)
@@ -153,8 +153,8 @@
     again.close()
 
 
-def test_no_span_of_the_program_is_measured_with_the_wall_clock():
-    """Only these may read it: to be shown, to be stored beside the monotonic time, or to be translated."""
+def test_only_listed_modules_read_wall_clock():
+    """They display it, store it with the monotonic time, or convert it; no duration is measured with it."""
     from pathlib import Path
 
     allowed = {"net/clock.py", "durable/jobs.py", "scheduler/fleet_link.py"}
