--- a/carthinge/net/clock.py
+++ b/carthinge/net/clock.py
@@ -47,7 +47,7 @@
             del self._periods[1:-MAX_PERIODS]
         self._last_check = now
 
-    def of_unix_ms(self, unix_ms: int) -> timedelta:
+    def from_unix_ms(self, unix_ms: int) -> timedelta:
         """Convert a wall-clock reading to monotonic time; zero if it is earlier than that, or 0 (long ago).
 
         Of several possible times the latest is returned, but never one in the future: callers need the
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -10,7 +10,7 @@
 from typing import Final, Protocol
 
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.read_timeouts import silent_at
+from carthinge.net.read_timeouts import silence_deadline
 
 MAX_FRESH_FRACTION: Final = 0.5  # of all slots; beyond it, connections without a request evict each other
 
@@ -93,7 +93,9 @@
         return [
             holder
             for holder, opened in self.fresh.items()
-            if now >= silent_at(opened.connected, opened.entered) and not holder.began() and holder.silent()
+            if now >= silence_deadline(opened.connected, opened.entered)
+            and not holder.began()
+            and holder.silent()
         ]
 
     def make_room(self, now: timedelta, first_request_grace: timedelta) -> Holder | None:
--- a/carthinge/net/read_timeouts.py
+++ b/carthinge/net/read_timeouts.py
@@ -32,7 +32,7 @@
         return max(min(complete_by, self.first_read + MAX_REQUEST_DURATION), self.first_read + LAST_CHANCE)
 
 
-def silent_at(connected: timedelta, entered: timedelta) -> timedelta:
+def silence_deadline(connected: timedelta, entered: timedelta) -> timedelta:
     """Return when a connection that has received nothing counts as silent.
 
     It may have waited in the backlog since ``connected``, the earliest time at which it can have been made,
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class WorkerStart:
     """A worker's last start, as reported by discovery and on this machine's monotonic clock.
 
     It is converted only once: after a step of the wall clock it would be taken for another start.
@@ -54,7 +54,7 @@
         self.ready: set[str] = set()
         self.listed: set[str] = set()  # whether ready or not
         self._members: dict[str, Member] = {}  # as last listed
-        self._starts: dict[str, Start] = {}
+        self._starts: dict[str, WorkerStart] = {}
         self._clock = clock
         self._zones: dict[str, int] = {}
         self._kinds: dict[str, int] = {}
@@ -112,7 +112,9 @@
             )
             if handed.member is not None:
                 self._members[handed.id] = handed.member
-                self._starts[handed.id] = Start(handed.member.up_since_ms, handed.started_us * MICROSECOND)
+                self._starts[handed.id] = WorkerStart(
+                    handed.member.up_since_ms, handed.started_us * MICROSECOND
+                )
         self.ready.update(handed.id for handed in state.targets if handed.ready)
         self.listed.update(handed.id for handed in state.targets if handed.listed)
         return WorkerList(Listing.CACHED, self._entries())
@@ -151,6 +153,6 @@
             return timedelta()
         start = self._starts.get(member.id)
         if start is None or start.unix_ms != member.up_since_ms:
-            start = Start(member.up_since_ms, self._clock.of_unix_ms(member.up_since_ms))
+            start = WorkerStart(member.up_since_ms, self._clock.from_unix_ms(member.up_since_ms))
             self._starts[member.id] = start
         return start.at
--- a/tests/test_half_sent_requests.py
+++ b/tests/test_half_sent_requests.py
@@ -30,7 +30,7 @@
         self.ended_after = None
 
     def receive(self):
-        """Record when an error or close arrives; 100 Continue and responses to complete requests do not count."""
+        """Record when an error or close arrives; 1xx and responses to complete requests do not count."""
         try:
             got = self.peer.sock.recv(65536)
         except ConnectionResetError:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -69,10 +69,10 @@
 def test_start_time_is_stable_and_old_one_zero():
     clock = Loop().clock
     recent = int((time.time() - 3) * 1000)
-    started = clock.of_unix_ms(recent)
-    assert started == clock.of_unix_ms(recent)  # a different time would look like a restart
+    started = clock.from_unix_ms(recent)
+    assert started == clock.from_unix_ms(recent)  # a different time would look like a restart
     assert timedelta(seconds=2) < clock.now() - started < timedelta(seconds=60)
-    assert clock.of_unix_ms(1) == timedelta()
+    assert clock.from_unix_ms(1) == timedelta()
 
 
 def test_cancelled_timers_are_swept():
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -59,8 +59,8 @@
     after, after_at = machine.wall_ms(), clock.now()
     machine.advance(S)
     clock.check_for_step(clock.now())
-    assert clock.of_unix_ms(after) == after_at
-    converted = clock.of_unix_ms(before)
+    assert clock.from_unix_ms(after) == after_at
+    converted = clock.from_unix_ms(before)
     later = converted > before_at and step < timedelta()
     assert converted == before_at or later, "of several possible times, the latest"
     assert converted <= clock.now()
@@ -84,9 +84,9 @@
             machine.advance(duration)
             machine.step(by)
             clock.check_for_step(clock.now())
-            just_now = clock.of_unix_ms(machine.wall_ms())
+            just_now = clock.from_unix_ms(machine.wall_ms())
             assert timedelta() <= clock.now() - just_now <= MIN_STEP + timedelta(milliseconds=1)
-        assert timedelta() <= clock.of_unix_ms(reading) <= clock.now()
+        assert timedelta() <= clock.from_unix_ms(reading) <= clock.now()
 
 
 def test_number_of_periods_is_limited(machine):
