--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from helpers import arrival, listing, outcome, settings
-from test_discovery import told
+from test_discovery import list_body
 from world import SETTINGS, World, member
 
 from carthinge import Dispatcher
@@ -44,16 +44,16 @@
     with World(tmp_path, settings=LARGE) as world:
         fleet = Fleet(world)
         peer, _ = world.watched()
-        peer.answer(200, told(8, *fleet.members(), complete=True))
+        peer.answer(200, list_body(8, *fleet.members(), complete=True))
         peer.read()  # the next call: that answer has taken effect
         assert world.metrics()["workers_known"] == COUNT and fleet.serve("a", 20)
-        peer.answer(200, told(9, *fleet.members("Terminating", COUNT - 50)))
+        peer.answer(200, list_body(9, *fleet.members("Terminating", COUNT - 50)))
         peer.read()
         assert all(number >= COUNT - 50 for number in fleet.serve("b", 20))
-        peer.answer(200, told(10, *fleet.members("Gone")))
+        peer.answer(200, list_body(10, *fleet.members("Gone")))
         peer.read()
         assert world.submit("c1").status() == 503 and world.metrics()["workers_known"] == 0
-        peer.answer(200, told(11, *fleet.members(), complete=True))
+        peer.answer(200, list_body(11, *fleet.members(), complete=True))
         peer.read()
         fleet.serve("d", 5)
         statm = Path(f"/proc/{world.process.pid}/statm").read_text()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from test_discovery import told
+from test_discovery import list_body
 from world import SETTINGS, World, job, member, serve_next
 
 CLASSES = ("query", "reindex", "charge")
@@ -33,7 +33,7 @@
     with World(tmp_path, known=False) as world:
         assert world.operate("/ready")[0] == 503
         peer, _ = world.watched()
-        peer.answer(200, told(8, member("s-0", world.workers[0].port), complete=True))
+        peer.answer(200, list_body(8, member("s-0", world.workers[0].port), complete=True))
         peer.read()
         assert world.operate("/ready")[0] == 200
         world.terminate()
@@ -142,7 +142,7 @@
     peer, _ = world.watched()
     peer.answer(
         200,
-        told(
+        list_body(
             8,
             member("s-0", world.workers[0].port, phase="Terminating"),
             member("s-1", world.workers[1].port, phase="Gone"),
@@ -204,12 +204,12 @@
         (member("s-0", port, up_since_ms=int(time.time() * 1000)),),
     ]
     for revision, members in enumerate(updates, 8):
-        watch.answer(200, told(revision, *members))
+        watch.answer(200, list_body(revision, *members))
         watch.read()
         if revision == 8:  # not listed: it can still be excluded or enabled, unlike other unlisted ids
             assert world.by_hand("disable", "s-0") == 200
             assert world.metrics()["workers_excluded"] == 0
-    watch.answer(200, told(11, member("s-0", port), member("s-1", world.workers[1].port), complete=True))
+    watch.answer(200, list_body(11, member("s-0", port), member("s-1", world.workers[1].port), complete=True))
     watch.read()
     world.reload(world.discovery)
     world.wait_for_log("event=reloaded")
