--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -1,23 +1,22 @@
-"""What many schedulers do together when more comes than their workers can do, in virtual time.
+"""Joint behaviour of many schedulers under overload, in virtual time.
 
     python benchmarks/fleet_overload.py [--quick] [--family reports|blind|mixed|keyed]
                                         [--scenario calm|overload|bad|herd] [--seed N]
                                         [--schedulers N] [--workers N] [--period SECONDS]
 
-Two families of settings: ``reports`` (free slots in answers, hints, three attempts) and ``blind`` (no
-reports, hints or probes, six attempts, deep queues whose workers drop nothing).  ``mixed``, played only when
-asked for, is ``blind`` with one of the two kinds dropping what waits when it is withdrawn.  Scenarios:
+Families of settings: ``reports`` (free slots in answers, hints, three attempts) and ``blind`` (no reports,
+hints or probes, six attempts, deep queues whose workers drop nothing).  ``mixed``, run only on request, is
+``blind`` with one of the two kinds dropping waiting jobs that are withdrawn.  Scenarios:
 
-- ``calm``: load 0.6 with a burst of half as much again, printed by windows of five seconds;
+- ``calm``: load 0.6 with a burst of 1.5 times that, printed in windows of five seconds;
 - ``overload``: load 0.7, then 1.5, then 0.7 again;
 - ``bad``: one worker in twenty is dead for a while, with 20 and with 200 schedulers;
 - ``herd``: seven in ten schedulers are killed at once.
 
-The last line is JSON, by family; ``overload`` and ``bad`` are played ``off``, ``on`` and ``talk``, the
-others ``on`` and ``talk``: without and with the shed level, the spread of ``Retry-After`` and the shared
-tries of dead workers, and with schedulers that talk besides (``[fleet]``, once each ``--period``).  From
-Python, with another module in the place of Dispatcher (anything with ``handle(now, events)``, made from
-``io.Settings`` and a seed):
+The last line is JSON, by family; ``overload`` and ``bad`` are run ``off``, ``on`` and ``talk``, the others
+``on`` and ``talk``: without and with load shedding, the spread of ``Retry-After`` and the shared probe
+backoff, and with messages among schedulers (``[fleet]``, every ``--period``).  From Python, with another
+decision module (anything with ``handle(now, events)``, created from ``io.Settings`` and a seed):
 
     sys.path.insert(0, "benchmarks")
     from fleet_overload import BLIND, REPORTS, calm, overload
@@ -25,7 +24,7 @@
         print(window.line())          # or window.in_time, .attempts, .held, .waste, as numbers
     figures = overload(REPORTS, make=lambda settings, seed: OtherDispatcher(settings, seed, option=3))
 
-Equal seeds bring the same jobs to each of them.
+Equal seeds give each module the same jobs.
 """
 
 from __future__ import annotations
@@ -47,21 +46,21 @@
 from carthinge.fleet import probe_backoff, retry_after
 from carthinge.fleet.load_shedding import SheddingLevel
 from carthinge.model import (
-    Cancels,
+    CancelSupport,
     Clients,
-    Herd,
-    Ill,
-    JobSort,
+    FaultKind,
+    JobProfile,
     Keys,
     Load,
-    Play,
+    SchedulerKill,
+    Simulation,
     Tally,
-    Trouble,
     Window,
+    WorkerFault,
     WorkerKind,
     World,
 )
-from carthinge.model.scheduler import Make
+from carthinge.model.scheduler import Factory
 
 
 def ms(value: float) -> timedelta:
@@ -69,11 +68,11 @@
 
 
 def us(value: float) -> int:
-    """Milliseconds in the unit of the module's interface."""
+    """Convert milliseconds to microseconds, the unit of the module's interface."""
     return int(value * 1000)
 
 
-# ---- the two families ---------------------------------------------------------------------------
+# ---- setting families ---------------------------------------------------------------------------
 
 _SLOW = io.JobClass(objective=us(600), deadline=us(10_000), worth=5.0, stretch=1.75, priority=1)
 _FAST = io.JobClass(objective=us(600), deadline=us(5_000), worth=1.0, stretch=1.75)
@@ -106,7 +105,7 @@
             speed=1.5,
             speed_spread=0.15,
             queue=52,
-            cancel=Cancels.NONE,
+            cancel=CancelSupport.NONE,
             drops_expired=False,
             thrash=0.09,
             thrash_at=6.5,
@@ -117,18 +116,20 @@
             speed=0.97,
             speed_spread=0.15,
             queue=62,
-            cancel=Cancels.NONE,
+            cancel=CancelSupport.NONE,
             drops_expired=False,
             thrash=0.09,
             thrash_at=6.5,
         ),
     ),
-    sorts=(JobSort(_SLOW, 0.5, ms(770), noise=0.28), JobSort(_FAST, 0.5, ms(400), noise=0.28)),
+    job_profiles=(JobProfile(_SLOW, 0.5, ms(770), noise=0.28), JobProfile(_FAST, 0.5, ms(400), noise=0.28)),
     loads=(),
-    clients=Clients(retries=0.75, backoff=ms(300), grows=True, honour=0.75),
+    clients=Clients(retries=0.75, backoff=ms(300), exponential_backoff=True, follow_retry_after=0.75),
+)
+MIXED = replace(BLIND, kinds=(BLIND.kinds[0], replace(BLIND.kinds[1], cancel=CancelSupport.QUEUED)))
+KEYED = replace(
+    BLIND, keys=Keys(per_worker=9, zipf=1.07, cached_per_slot=1.0, min_fetch=0.4, fetch_rate=0.35)
 )
-MIXED = replace(BLIND, kinds=(BLIND.kinds[0], replace(BLIND.kinds[1], cancel=Cancels.QUEUED)))
-KEYED = replace(BLIND, keys=Keys(per_worker=9, zipf=1.07, kept_per_slot=1.0, setup=0.4, store=0.35))
 
 _QUERY = io.JobClass(objective=us(300), deadline=us(5_000), late_worth=0.2, stretch=2.5)
 _INDEX = io.JobClass(
@@ -195,49 +196,50 @@
             speed=0.6,
             speed_spread=0.12,
             queue=14,
-            cancel=Cancels.ALL,
+            cancel=CancelSupport.ALL,
             drops_expired=False,
             thrash=0.09,
             thrash_at=9,
         ),
     ),
-    sorts=(
-        JobSort(_QUERY, 0.52, ms(400), spread=2.0, noise=0.35),
-        JobSort(_INDEX, 0.48, ms(800), spread=2.0, noise=0.4),
+    job_profiles=(
+        JobProfile(_QUERY, 0.52, ms(400), spread=2.0, noise=0.35),
+        JobProfile(_INDEX, 0.48, ms(800), spread=2.0, noise=0.4),
     ),
     loads=(),
-    clients=Clients(retries=1.5, backoff=ms(70), grows=True, honour=0.6),
+    clients=Clients(retries=1.5, backoff=ms(70), exponential_backoff=True, follow_retry_after=0.6),
     hints=0.5,
     usage=(0.9, 0.9, 0.9, 0.9, 1.1, 0.9, 0.9, 1.1),
 )
 FAMILIES = {"reports": REPORTS, "blind": BLIND, "mixed": MIXED, "keyed": KEYED}
-ORDINARY = ("reports", "blind")
-QUOTAS = 0.8  # of what the workers can do, all tenants' quotas together
+DEFAULT_FAMILIES = ("reports", "blind")
+QUOTA_SHARE = 0.8  # all tenants' quotas together, as a share of the capacity
 
 
-def sized(world: World, seed: object) -> World:
-    """Quotas follow what the drawn workers can do."""
+def with_quotas(world: World, seed: object) -> World:
+    """Set the quotas in proportion to the capacity of the drawn workers."""
     if not world.settings.tenants:
         return world
-    jobs_per_s = Play(world, seed).capacity / world.mean_work().total_seconds()
+    jobs_per_s = Simulation(world, seed).capacity / world.mean_work().total_seconds()
     tenants = tuple(
-        replace(tenant, quota_per_s=tenant.share * QUOTAS * jobs_per_s) for tenant in world.settings.tenants
+        replace(tenant, quota_per_s=tenant.share * QUOTA_SHARE * jobs_per_s)
+        for tenant in world.settings.tenants
     )
     return replace(world, settings=replace(world.settings, tenants=tenants))
 
 
-def play(world: World, make: Make, seed: object) -> Tally:
-    return Play(sized(world, seed), seed, make).run()
+def simulate(world: World, make: Factory, seed: object) -> Tally:
+    return Simulation(with_quotas(world, seed), seed, make).run()
 
 
-def spans(*parts: tuple[float, float]) -> tuple[Load, ...]:
-    """Of seconds and loads."""
-    return tuple(Load(timedelta(seconds=lasts), load) for lasts, load in parts)
+def phases(*parts: tuple[float, float]) -> tuple[Load, ...]:
+    """Build load phases from pairs of seconds and load."""
+    return tuple(Load(timedelta(seconds=duration), load) for duration, load in parts)
 
 
 @contextmanager
-def off() -> Iterator[None]:
-    """Meanwhile modules decide as if none of this were there."""
+def features_off() -> Iterator[None]:
+    """Disable load shedding, the spread of Retry-After and the shared probe backoff."""
     with (
         mock.patch.object(SheddingLevel, "kept", lambda *_: 1.0),
         mock.patch.object(retry_after, "stay_away", lambda room, least, most, point: most),
@@ -248,11 +250,11 @@
 
 @contextmanager
 def talking(period: float) -> Iterator[None]:
-    """Meanwhile schedulers talk as well."""
-    from talking_play import TalkingPlay
+    """Let schedulers exchange messages."""
+    from talking_play import TalkingSimulation
 
-    made = partial(TalkingPlay, period=timedelta(seconds=period))
-    with mock.patch.object(sys.modules[__name__], "Play", made):
+    factory = partial(TalkingSimulation, period=timedelta(seconds=period))
+    with mock.patch.object(sys.modules[__name__], "Simulation", factory):
         yield
 
 
@@ -261,86 +263,90 @@
 
 def calm(
     world: World = BLIND,
-    make: Make = Dispatcher,
+    make: Factory = Dispatcher,
     seed: object = 1,
     quick: bool = False,
     load: float = 0.6,
     burst: float = 1.5,
 ) -> list[Window]:
-    """No fault, and a burst of ``burst`` times the load for some seconds; the windows are of five seconds."""
-    before, lasts, after = (5, 5, 15) if quick else (10, 8, 32)
-    world = replace(world, loads=spans((before, load), (lasts, load * burst), (after, load)))
-    return play(world, make, seed).windows(5, before + lasts + after)
-
-
-def overload(world: World, make: Make = Dispatcher, seed: object = 1, quick: bool = False) -> dict[str, Any]:
-    """Load 1.5 for ten seconds (five in a hurry) between spans of 0.7."""
-    before, lasts, after = (3, 5, 10) if quick else (5, 10, 30)
-    whole = before + lasts + after
-    world = replace(world, loads=spans((before, 0.7), (lasts, 1.5), (after, 0.7)))
-    tally = play(world, make, seed)
-    for window in tally.windows(5, whole):
+    """Run without faults, with a burst of ``burst`` times the load; the windows are of five seconds."""
+    before, during, after = (5, 5, 15) if quick else (10, 8, 32)
+    world = replace(world, loads=phases((before, load), (during, load * burst), (after, load)))
+    return simulate(world, make, seed).windows(5, before + during + after)
+
+
+def overload(
+    world: World, make: Factory = Dispatcher, seed: object = 1, quick: bool = False
+) -> dict[str, Any]:
+    """Run at load 1.5 for ten seconds (``quick``: five), before and after that at 0.7."""
+    before, during, after = (3, 5, 10) if quick else (5, 10, 30)
+    total = before + during + after
+    world = replace(world, loads=phases((before, 0.7), (during, 1.5), (after, 0.7)))
+    tally = simulate(world, make, seed)
+    for window in tally.windows(5, total):
         print("   ", window.line())
-    seconds = tally.seconds[:whole]
-    # Who was told to come back does so while the overload lasts, or within the longest span after it.
-    last = before + lasts + round(world.settings.max_retry_after / 1e6)
-    tries = [second.tries for second in tally.seconds[before:last] if second.tries]
-    asked = sum(second.asked for second in seconds)
-    well = tally.window(1, before).in_time
+    seconds = tally.seconds[:total]
+    # Refused clients retry during the overload, or within the maximum Retry-After after it.
+    last = before + during + round(world.settings.max_retry_after / 1e6)
+    retries = [second.client_retries for second in tally.seconds[before:last] if second.client_retries]
+    offered_worth = sum(second.offered_worth for second in seconds)
+    in_time_before = tally.window(1, before).in_time
     recovered = next(
         (
             second
-            for second in range(before + lasts, whole - 1)
-            if tally.window(second, second + 2).in_time >= 0.95 * well
+            for second in range(before + during, total - 1)
+            if tally.window(second, second + 2).in_time >= 0.95 * in_time_before
         ),
         None,
     )
     return {
-        "worth_share": round(sum(second.earned for second in seconds) / asked, 4),
-        "in_time_before": round(well, 4),
-        "in_time_during": round(tally.window(before, before + lasts).in_time, 4),
-        "in_time_after": round(tally.window(before + lasts, whole).in_time, 4),
+        "worth_share": round(sum(second.earned for second in seconds) / offered_worth, 4),
+        "in_time_before": round(in_time_before, 4),
+        "in_time_during": round(tally.window(before, before + during).in_time, 4),
+        "in_time_after": round(tally.window(before + during, total).in_time, 4),
         "attempts_per_job_peak": round(max(s.attempts / max(1, s.arrivals) for s in seconds), 3),
-        "recovery_s": None if recovered is None else recovered - before - lasts,
-        "retry_after_peak_ratio": round(max(tries) * len(tries) / sum(tries), 2) if tries else None,
-        "waste_share": round(tally.window(0, whole).waste, 4),
-        "ends": {end.value: count for end, count in tally.ends().items()},
+        "recovery_s": None if recovered is None else recovered - before - during,
+        "retry_after_peak_ratio": round(max(retries) * len(retries) / sum(retries), 2) if retries else None,
+        "waste_share": round(tally.window(0, total).waste, 4),
+        "ends": {outcome.value: count for outcome, count in tally.outcomes().items()},
     }
 
 
-def bad(world: World, make: Make = Dispatcher, seed: object = 1, quick: bool = False) -> dict[str, Any]:
-    """What is sent to a worker that is dead once one scheduler has found that, a second, by schedulers.
+def bad(world: World, make: Factory = Dispatcher, seed: object = 1, quick: bool = False) -> dict[str, Any]:
+    """Measure the attempts and probes per second to a dead worker, once one scheduler has detected that.
 
-    ``_again`` is the part of it that comes from schedulers which have found it themselves; the rest are first
-    tries, one for each scheduler that meets the worker, which nobody can spare it without talk."""
-    before, lasts = (2, 6) if quick else (5, 20)
+    ``_again`` counts those of schedulers that have detected it themselves; the others are first attempts, one
+    per scheduler, which cannot be avoided without talk."""
+    before, during = (2, 6) if quick else (5, 20)
     figures: dict[str, Any] = {}
-    for ill in (Ill.REFUSES, Ill.SILENT):
-        trouble = Trouble(ill, timedelta(seconds=before), timedelta(seconds=lasts), 0.05)
+    for kind in (FaultKind.REFUSES, FaultKind.SILENT):
+        fault = WorkerFault(kind, timedelta(seconds=before), timedelta(seconds=during), 0.05)
         for schedulers in (20, 200):
-            tally = play(
+            tally = simulate(
                 replace(
-                    world, schedulers=schedulers, troubles=(trouble,), loads=spans((before + lasts, 0.6))
+                    world, schedulers=schedulers, worker_faults=(fault,), loads=phases((before + during, 0.6))
                 ),
                 make,
                 seed,
             )
             count = max(1, round(0.05 * world.workers))
-            rates = [second.to_bad / count for second in tally.seconds[before : before + lasts]]
-            again = sum(second.to_bad_again for second in tally.seconds[before : before + lasts])
-            figures[f"{ill.value}_{schedulers}"] = round(sum(rates) / lasts, 2)
-            figures[f"{ill.value}_{schedulers}_again"] = round(again / count / lasts, 2)
-            figures[f"{ill.value}_{schedulers}_later_half"] = round(sum(rates[lasts // 2 :]) * 2 / lasts, 2)
-            print(f"    {ill.value}, {schedulers} schedulers:", *(f"{rate:.1f}" for rate in rates))
+            rates = [second.futile_sends / count for second in tally.seconds[before : before + during]]
+            repeated = sum(second.repeat_futile_sends for second in tally.seconds[before : before + during])
+            figures[f"{kind.value}_{schedulers}"] = round(sum(rates) / during, 2)
+            figures[f"{kind.value}_{schedulers}_again"] = round(repeated / count / during, 2)
+            figures[f"{kind.value}_{schedulers}_later_half"] = round(
+                sum(rates[during // 2 :]) * 2 / during, 2
+            )
+            print(f"    {kind.value}, {schedulers} schedulers:", *(f"{rate:.1f}" for rate in rates))
     return figures
 
 
-def herd(world: World, make: Make = Dispatcher, seed: object = 1, quick: bool = False) -> list[Window]:
-    """Seven in ten schedulers are killed at once, at load 0.6."""
+def herd(world: World, make: Factory = Dispatcher, seed: object = 1, quick: bool = False) -> list[Window]:
+    """Kill seven in ten schedulers at once, at load 0.6."""
     before, after = (4, 14) if quick else (8, 30)
-    killed = Herd(timedelta(seconds=before), 0.7, timedelta(seconds=3))
-    world = replace(world, herds=(killed,), loads=spans((before + after, 0.6)))
-    return play(world, make, seed).windows(2 if quick else 5, before + after)
+    kill = SchedulerKill(timedelta(seconds=before), 0.7, timedelta(seconds=3))
+    world = replace(world, scheduler_kills=(kill,), loads=phases((before + after, 0.6)))
+    return simulate(world, make, seed).windows(2 if quick else 5, before + after)
 
 
 def run(scenario: str, world: World, seed: int, quick: bool) -> dict[str, Any]:
@@ -374,9 +380,9 @@
     parser.add_argument("--period", type=float, default=1.0)
     options = parser.parse_args()
     result: dict[str, Any] = {"seed": options.seed, "quick": options.quick}
-    for name in [options.family] if options.family else ORDINARY:
+    for name in [options.family] if options.family else DEFAULT_FAMILIES:
         world = replace(FAMILIES[name], schedulers=options.schedulers, workers=options.workers)
-        states = {"off": off, "on": nullcontext, "talk": partial(talking, options.period)}
+        states = {"off": features_off, "on": nullcontext, "talk": partial(talking, options.period)}
         figures: dict[str, dict[str, Any]] = {state: {} for state in states}
         for scenario in [options.scenario] if options.scenario else scenarios:
             for state in states if scenario in ("overload", "bad") else ("on", "talk"):
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -1,4 +1,4 @@
-"""A play of the model whose schedulers talk: the talk's pure machines beside the decision modules."""
+"""A simulation whose schedulers exchange messages: the pure state machines of the talk are run as well."""
 
 from __future__ import annotations
 
@@ -11,88 +11,88 @@
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import Kind, Packet, Rumor, Standing
 from carthinge.fleet.talk import Facts, Talk
-from carthinge.model import Play
+from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
 from carthinge.scheduler.fleet_facts import Insight
 
-DELAY = 500  # microseconds that a message is under way
+DELAY_US = 500  # of a message
 
 
-class Talker:
-    """One life of one scheduler."""
+class TalkEndpoint:
+    """The talk of one scheduler, from a start to the next."""
 
-    def __init__(self, play: TalkingPlay, position: int, life: int) -> None:
-        self.play, self.scheduler = play, play.schedulers[position]
+    def __init__(self, simulation: TalkingSimulation, position: int, restarts: int) -> None:
+        self.simulation, self.scheduler = simulation, simulation.schedulers[position]
         self.module: Any = self.scheduler.module
-        self.insight = Insight(self.module, {}, len(play.world.sorts))
-        self.name, self._shown, self._due = f"s{position}", 0, 0
-        rng, now = Random(f"{play.seed}/talk/{position}/{life}"), play.agenda.now * MICROSECOND
+        self.insight = Insight(self.module, {}, len(simulation.world.job_profiles))
+        self.name, self._seen_changes, self._due = f"s{position}", 0, 0
+        rng, now = Random(f"{simulation.seed}/talk/{position}/{restarts}"), simulation.clock.now * MICROSECOND
         member = Membership(
             self.name,
             self.name,
             ["s0", "s1"],
-            play.period,
-            1000 + life,
+            simulation.period,
+            1000 + restarts,
             rng.getrandbits(60),
-            now + rng.random() * play.period,
+            now + rng.random() * simulation.period,
         )
-        if not life:  # they know each other from the start: how they join is another matter
-            other = f"s{(position + 1) % len(play.schedulers)}"
-            member.hear(now, Packet(Kind.BEAT, other, other, 1000, rumors=play.known))
+        if not restarts:  # members know each other from the start, as joining is not measured
+            other = f"s{(position + 1) % len(simulation.schedulers)}"
+            member.hear(now, Packet(Kind.BEAT, other, other, 1000, rumors=simulation.rumors))
             member.voice.rumors.clear()
             member.voice.sent()
-        self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * play.period)
-        self.module.handle(play.agenda.now, [io.FleetView()])
-        self.arm()
+        self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
+        self.module.handle(simulation.clock.now, [io.FleetView()])
+        self.schedule_tick()
 
     def look(self, workers: Collection[int]) -> Facts:
-        return self.insight.look(workers, self.play.agenda.now)
+        return self.insight.look(workers, self.simulation.clock.now)
 
     def repeats(self) -> float:
         return float(self.module.context.budget.left)
 
-    def hear(self, packet: Packet) -> None:
+    def receive(self, packet: Packet) -> None:
         if self.scheduler.module is self.module:
-            self._after(self.talk.hear(self.play.agenda.now * MICROSECOND, packet))
+            self._handle_result(self.talk.hear(self.simulation.clock.now * MICROSECOND, packet))
 
-    def arm(self) -> None:
-        due = max(self.play.agenda.now + 1, -(-self.talk.due() // MICROSECOND))
+    def schedule_tick(self) -> None:
+        due = max(self.simulation.clock.now + 1, -(-self.talk.due() // MICROSECOND))
         if not self._due or due < self._due:
             self._due = due
-            self.play.agenda.at(due, self._tick, due)
+            self.simulation.clock.call_at(due, self._tick, due)
 
     def _tick(self, due: int) -> None:
         if due == self._due and self.scheduler.module is self.module:
             self._due = 0
-            self._after(self.talk.tick(due * MICROSECOND))
+            self._handle_result(self.talk.tick(due * MICROSECOND))
 
-    def _after(self, sendings: list[tuple[str, Packet]]) -> None:
-        if self.talk.changes != self._shown:
-            self._shown = self.talk.changes
-            self.scheduler.hear(self.insight.view(self.talk, ()))
-        for to, packet in sendings:
-            self.play.carry(to, packet)
-        self.arm()
+    def _handle_result(self, outgoing: list[tuple[str, Packet]]) -> None:
+        if self.talk.changes != self._seen_changes:
+            self._seen_changes = self.talk.changes
+            self.scheduler.handle_event(self.insight.view(self.talk, ()))
+        for to, packet in outgoing:
+            self.simulation.deliver(to, packet)
+        self.schedule_tick()
 
 
-class TalkingPlay(Play):
-    """``period``: of the talk; nothing is lost."""
+class TalkingSimulation(Simulation):
+    """A simulation with talk every ``period``; no message is lost."""
 
     def __init__(self, *arguments: Any, period: timedelta = timedelta(seconds=1)) -> None:
         super().__init__(*arguments)
         self.period, self.messages = period, 0
-        self.talkers: dict[str, Talker] = {}
+        self.endpoints: dict[str, TalkEndpoint] = {}
         names = [f"s{scheduler.position}" for scheduler in self.schedulers]
-        self.known = [Rumor(name, Standing.ALIVE, 1000, name) for name in names]
+        self.rumors = [Rumor(name, Standing.ALIVE, 1000, name) for name in names]
 
-    def _start(self, scheduler: Any, listed: tuple[io.WorkerEntry, ...], times: int = 0) -> None:
-        super()._start(scheduler, listed, times)
-        self.talkers[f"s{scheduler.position}"] = Talker(self, scheduler.position, times)
+    def _start_scheduler(self, scheduler: Any, listed: tuple[io.WorkerEntry, ...], restarts: int = 0) -> None:
+        super()._start_scheduler(scheduler, listed, restarts)
+        self.endpoints[f"s{scheduler.position}"] = TalkEndpoint(self, scheduler.position, restarts)
 
-    def carry(self, to: str, packet: Packet) -> None:
+    def deliver(self, to: str, packet: Packet) -> None:
         self.messages += 1
-        if to in self.talkers:
-            self.agenda.at(self.agenda.now + DELAY, self.talkers[to].hear, packet)
+        if to in self.endpoints:
+            self.clock.call_at(self.clock.now + DELAY_US, self.endpoints[to].receive, packet)
 
     def span(self) -> int:
         return micros(self.period)
--- a/carthinge/model/__init__.py
+++ b/carthinge/model/__init__.py
@@ -1,40 +1,40 @@
-"""A fleet in virtual time: many decision modules that share nothing, against model workers and clients.
+"""Simulation of a fleet in virtual time: independent decision modules with model workers and clients.
 
-It tells what hundreds of schedulers do *together*; docs/fleet-overload.md says what it holds and leaves out.
-No clock, no socket: equal seeds give equal plays.
+It shows the joint behaviour of hundreds of schedulers; docs/fleet-overload.md describes its scope and limits.
+It uses no real clock and no sockets: equal seeds give equal runs.
 
     from carthinge import Dispatcher
-    from carthinge.model import Play
-    tally = Play(world, seed=1, make=Dispatcher).run()
+    from carthinge.model import Simulation
+    tally = Simulation(world, seed=1, make=Dispatcher).run()
 """
 
-from carthinge.model.play import Play
+from carthinge.model.play import Simulation
 from carthinge.model.tally import Tally, Window
 from carthinge.model.world import (
-    Cancels,
+    CancelSupport,
     Clients,
-    Herd,
-    Ill,
-    JobSort,
+    FaultKind,
+    JobProfile,
     Keys,
     Load,
-    Trouble,
+    SchedulerKill,
+    WorkerFault,
     WorkerKind,
     World,
 )
 
 __all__ = [
-    "Cancels",
+    "CancelSupport",
     "Clients",
-    "Herd",
-    "Ill",
-    "JobSort",
+    "FaultKind",
+    "JobProfile",
     "Keys",
     "Load",
-    "Play",
+    "SchedulerKill",
+    "Simulation",
     "Tally",
-    "Trouble",
     "Window",
+    "WorkerFault",
     "WorkerKind",
     "World",
 ]
--- a/carthinge/model/agenda.py
+++ b/carthinge/model/agenda.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is due, in the order of times and then of entry."""
+"""Virtual time: scheduled calls, made in the order of their times and then of scheduling."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 SECOND: Final = 1_000_000  # microseconds
 
 
-def micros(span: timedelta) -> int:
-    """A span as the module's interface counts it."""
-    return span // MICROSECOND
+def micros(duration: timedelta) -> int:
+    """Convert a duration to microseconds, the unit of the decision module's interface."""
+    return duration // MICROSECOND
 
 
-class Agenda:
-    """Calls that are due at a time, in microseconds; the time is that of the call that is made."""
+class VirtualClock:
+    """Makes scheduled calls; ``now`` is the time of the current call in microseconds."""
 
-    __slots__ = ("_count", "_heap", "now")
+    __slots__ = ("_heap", "_sequence", "now")
 
     def __init__(self) -> None:
         self.now = 0
         self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._count = 0
+        self._sequence = 0
 
-    def at(self, due: int, call: Callable[..., object], *arguments: Any) -> None:
-        """To be called then, or now if that is past."""
-        self._count += 1
-        heappush(self._heap, (max(due, self.now), self._count, call, arguments))
+    def call_at(self, due: int, callback: Callable[..., object], *arguments: Any) -> None:
+        """Schedule a call at ``due``, or now if that time is past."""
+        self._sequence += 1
+        heappush(self._heap, (max(due, self.now), self._sequence, callback, arguments))
 
     def run(self, until: int) -> None:
-        """Makes all calls due up to then, those that they add included."""
+        """Make all calls that are due by ``until``, including those scheduled meanwhile."""
         heap = self._heap
         while heap and heap[0][0] <= until:
-            self.now, _, call, arguments = heappop(heap)
-            call(*arguments)
+            self.now, _, callback, arguments = heappop(heap)
+            callback(*arguments)
         self.now = max(self.now, until)
--- a/carthinge/model/workers.py
+++ b/carthinge/model/workers.py
@@ -1,4 +1,4 @@
-"""Model workers: cores, a queue served in order, and what may befall them."""
+"""Model workers: cores, a queue served in order, and injected faults."""
 
 from __future__ import annotations
 
@@ -9,70 +9,70 @@
 from typing import Final, Protocol
 
 from carthinge import interface as io
-from carthinge.model.agenda import Agenda
+from carthinge.model.agenda import VirtualClock
 from carthinge.model.tally import Tally
-from carthinge.model.world import Cancels, Ill, WorkerKind
+from carthinge.model.world import CancelSupport, FaultKind, WorkerKind
 
-DELETE_ARRIVES: Final = 100_000  # a withdrawal that nobody answers counts as arrived after so long
-ERROR_AFTER: Final = 2_000  # a worker that fails at once does so within that
-MUTE: Final = frozenset({Ill.HANG, Ill.REFUSES, Ill.SILENT})  # nothing sent there is ever served
+DELETE_TIMEOUT_US: Final = 100_000  # a withdrawal that is not answered counts as received after this time
+ERROR_DELAY_US: Final = 2_000  # until a worker reports an immediate error
+UNRESPONSIVE: Final = frozenset({FaultKind.HANG, FaultKind.REFUSES, FaultKind.SILENT})  # no attempt is served
 
 
 class Attempt(Protocol):
-    """One send, as its worker knows it."""
+    """An attempt, as its worker knows it."""
 
-    work: int  #: what it takes, unlike any hint
-    key: int  #: the program that it needs, 0 for none
+    work: int  #: actual work, which may differ from the hint
+    key: int  #: the program that it needs, or 0
     due: int  #: when its client leaves
-    open: bool  #: its scheduler waits for it
+    open: bool  #: its scheduler still waits for it
 
 
-class Home(Protocol):
-    """Where an attempt comes from; called when the news is there."""
+class Sender(Protocol):
+    """The scheduler that sent an attempt; called when a report arrives there."""
 
-    def note(self, attempt: Attempt, done: float | None) -> None:
-        """Hear of the start or the progress of a job."""
+    def report_progress(self, attempt: Attempt, done: float | None) -> None:
+        """Receive the start or the progress of a job."""
 
-    def end(self, attempt: Attempt, result: io.Result, report: tuple[float, ...]) -> None:
-        """Hear of the end of a job."""
+    def report_result(self, attempt: Attempt, result: io.Result, report: tuple[float, ...]) -> None:
+        """Receive the result of a job."""
 
 
 @dataclass(slots=True, eq=False)
-class Piece:
-    """An attempt at its worker."""
+class Task:
+    """An attempt that waits or runs at its worker."""
 
     attempt: Attempt
-    home: Home
-    begun: int = -1
-    left: int = 0  # of its running time, while the worker hangs
-    span: int = 1  # running time
-    turn: int = 0  # of its end: an earlier one is void
-    over: bool = False
+    sender: Sender
+    started_at: int = -1
+    remaining: int = 0  # running time left, while the worker hangs
+    running_time: int = 1
+    generation: int = 0  # scheduled ends of earlier generations are void
+    removed: bool = False
 
 
-class Store:
-    """Where workers fetch programs from: one fetch takes ``setup``, all together no more than ``rate`` each
-    microsecond.  ``fetched`` counts them."""
+class ProgramStore:
+    """The store of programs: a fetch takes at least ``min_fetch``, and all workers together fetch at most
+    ``rate`` programs per microsecond; ``fetches`` counts them."""
 
-    def __init__(self, agenda: Agenda, setup: int, rate: float) -> None:
-        self._agenda, self._setup, self._gap = agenda, setup, 1 / rate
+    def __init__(self, clock: VirtualClock, min_fetch: int, rate: float) -> None:
+        self._clock, self._min_fetch, self._interval = clock, min_fetch, 1 / rate
         self._free_at = 0.0
-        self.fetched = self.asked = 0
+        self.fetches = self.lookups = 0
 
     def fetch(self) -> int:
-        """How long a fetch that begins now will take."""
-        now = self._agenda.now
-        self.fetched += 1
-        self._free_at = max(float(now), self._free_at) + self._gap
-        return max(self._setup, int(self._free_at) - now)
+        """Return the duration of a fetch that begins now."""
+        now = self._clock.now
+        self.fetches += 1
+        self._free_at = max(float(now), self._free_at) + self._interval
+        return max(self._min_fetch, int(self._free_at) - now)
 
 
 class ModelWorker:
-    """One worker.  ``delay`` draws the time that news needs, one way; ``keeps`` programs stay there."""
+    """One worker.  ``delay`` draws the one-way network delay; ``cache_size`` programs are cached."""
 
     def __init__(
         self,
-        agenda: Agenda,
+        clock: VirtualClock,
         tally: Tally,
         kind: WorkerKind,
         entry: io.WorkerEntry,
@@ -80,191 +80,203 @@
         settings: io.Settings,
         delay: Callable[[], int],
         connect_timeout: int = 250_000,
-        store: Store | None = None,
-        keeps: int = 0,
+        store: ProgramStore | None = None,
+        cache_size: int = 0,
     ) -> None:
         self.kind, self.entry, self.settings = kind, entry, settings
         self.speed = max(0.1 * kind.speed, rng.gauss(kind.speed, kind.speed * kind.speed_spread))
-        self.ill: Ill | None = None
-        self.size = 1.0
-        self.found: set[int] = set()  # while it is ill: the schedulers that know
-        self.started = -1  # when it last came back, -1 for long ago
-        self.held = 0  # running and waiting
-        self.running: list[Piece] = []
-        self.queue: deque[Piece] = deque()
-        self._pieces: dict[Attempt, Piece] = {}
-        self._shown: tuple[float, ...] = ()
-        self._agenda, self._tally, self._rng, self._delay = agenda, tally, rng, delay
+        self.fault: FaultKind | None = None
+        self.severity = 1.0
+        self.detected_by: set[int] = set()  # schedulers that have detected its fault
+        self.restarted_at = -1  # -1 if it has not restarted
+        self.outstanding = 0  # jobs running and waiting
+        self.running: list[Task] = []
+        self.queue: deque[Task] = deque()
+        self._tasks: dict[Attempt, Task] = {}
+        self._last_report: tuple[float, ...] = ()
+        self._clock, self._tally, self._rng, self._delay = clock, tally, rng, delay
         self._connect_timeout = connect_timeout
-        self._store, self._keeps = store, keeps
-        self._kept: dict[int, None] = {}  # the one used last stands last
-
-    # ---- what schedulers want of it -------------------------------------------------------
-
-    def take(self, attempt: Attempt, home: Home) -> None:
-        """An attempt has arrived, or would have."""
-        piece = Piece(attempt, home)
-        if self.ill is Ill.SILENT:
-            self._agenda.at(
-                self._agenda.now + self._connect_timeout, home.end, attempt, io.Result.CONNECT_FAILED, ()
+        self._store, self._cache_size = store, cache_size
+        self._cache: dict[int, None] = {}  # in the order of last use
+
+    # ---- requests of schedulers -----------------------------------------------------------
+
+    def receive_attempt(self, attempt: Attempt, sender: Sender) -> None:
+        """Receive an attempt, or let it fail as the current fault requires."""
+        task = Task(attempt, sender)
+        if self.fault is FaultKind.SILENT:
+            self._clock.call_at(
+                self._clock.now + self._connect_timeout,
+                sender.report_result,
+                attempt,
+                io.Result.CONNECT_FAILED,
+                (),
             )
-        elif self.ill is Ill.REFUSES:
-            self._tell_end(piece, io.Result.CONNECT_FAILED)
-        elif self.ill is Ill.ERRORS and self._rng.random() < self.size:
-            self._agenda.at(self._agenda.now + ERROR_AFTER, self._tell_end, piece, io.Result.ERROR)
-        elif len(self._pieces) >= self.kind.cores + self.kind.queue:
-            if self.ill is not Ill.HANG:
-                self._tell_end(piece, io.Result.FULL)
+        elif self.fault is FaultKind.REFUSES:
+            self._send_result(task, io.Result.CONNECT_FAILED)
+        elif self.fault is FaultKind.ERRORS and self._rng.random() < self.severity:
+            self._clock.call_at(self._clock.now + ERROR_DELAY_US, self._send_result, task, io.Result.ERROR)
+        elif len(self._tasks) >= self.kind.cores + self.kind.queue:
+            if self.fault is not FaultKind.HANG:
+                self._send_result(task, io.Result.FULL)
         else:
-            self._pieces[attempt] = piece
-            self.held += 1
-            self.queue.append(piece)
+            self._tasks[attempt] = task
+            self.outstanding += 1
+            self.queue.append(task)
             self._start()
 
-    def withdraw(self, attempt: Attempt, home: Home) -> None:
-        """A withdrawal has arrived, or would have; its scheduler hears as soon as that is sure."""
-        if self.ill is Ill.SILENT:
-            return  # tried again up to the client's time, with no more success
-        wait = DELETE_ARRIVES if self.ill is Ill.HANG else self._delay()
-        self._agenda.at(self._agenda.now + wait, home.end, attempt, io.Result.CANCELLED, ())
-        piece = self._pieces.get(attempt)
-        if piece is None or self.ill is Ill.HANG or self.kind.cancel is Cancels.NONE:
+    def withdraw(self, attempt: Attempt, sender: Sender) -> None:
+        """Receive a withdrawal; its scheduler is notified as soon as the end is certain."""
+        if self.fault is FaultKind.SILENT:
+            return  # retried without success up to the client's deadline
+        wait = DELETE_TIMEOUT_US if self.fault is FaultKind.HANG else self._delay()
+        self._clock.call_at(self._clock.now + wait, sender.report_result, attempt, io.Result.CANCELLED, ())
+        task = self._tasks.get(attempt)
+        if task is None or self.fault is FaultKind.HANG or self.kind.cancel is CancelSupport.NONE:
             return
-        if piece.begun < 0 or self.kind.cancel is Cancels.ALL:
-            self._drop(piece)
+        if task.started_at < 0 or self.kind.cancel is CancelSupport.ALL:
+            self._remove(task)
             self._start()
 
     def probe(self, answer: Callable[[int, io.Result, tuple[float, ...]], None]) -> None:
-        """A shallow check: a worker that hangs answers it like any other."""
-        if self.ill is Ill.SILENT:
+        """Answer a shallow health check; a worker that hangs answers it as well."""
+        if self.fault is FaultKind.SILENT:
             wait, result = self._connect_timeout, io.Result.CONNECT_FAILED
         else:
             wait, result = self._delay(), io.Result.OK
-            if self.ill is Ill.REFUSES:
+            if self.fault is FaultKind.REFUSES:
                 result = io.Result.CONNECT_FAILED
-        report = self._shown if result is io.Result.OK else ()
-        self._agenda.at(self._agenda.now + wait, answer, self.entry.worker, result, report)
+        report = self._last_report if result is io.Result.OK else ()
+        self._clock.call_at(self._clock.now + wait, answer, self.entry.worker, result, report)
 
-    def refresh(self, every: int) -> None:
-        """Its report, from now on and again and again."""
-        self._shown = (float(max(0, self.kind.cores - self.held)),)
-        self._agenda.at(self._agenda.now + every, self.refresh, every)
+    def refresh(self, interval: int) -> None:
+        """Refresh the reported number of free slots periodically."""
+        self._last_report = (float(max(0, self.kind.cores - self.outstanding)),)
+        self._clock.call_at(self._clock.now + interval, self.refresh, interval)
 
-    # ---- its work -------------------------------------------------------------------------
+    # ---- jobs -----------------------------------------------------------------------------
 
     def _start(self) -> None:
-        while self.ill is not Ill.HANG and self.queue and len(self.running) < self.kind.cores:
-            piece = self.queue.popleft()
-            if piece.over:
+        while self.fault is not FaultKind.HANG and self.queue and len(self.running) < self.kind.cores:
+            task = self.queue.popleft()
+            if task.removed:
                 continue
-            if self.kind.drops_expired and self._agenda.now >= piece.attempt.due:
-                self._drop(piece)
+            if self.kind.drops_expired and self._clock.now >= task.attempt.due:
+                self._remove(task)
                 continue
-            now = piece.begun = self._agenda.now
-            piece.span = max(1, int(piece.attempt.work / self._rate())) + self._set_up(piece.attempt.key)
-            self.running.append(piece)
-            self._agenda.at(now + piece.span, self._finish, piece, piece.turn)
+            now = task.started_at = self._clock.now
+            task.running_time = max(1, int(task.attempt.work / self._job_speed())) + self._fetch_time(
+                task.attempt.key
+            )
+            self.running.append(task)
+            self._clock.call_at(now + task.running_time, self._finish, task, task.generation)
             if self.settings.tells_start:
-                self._agenda.at(now + self._delay(), piece.home.note, piece.attempt, None)
+                self._clock.call_at(now + self._delay(), task.sender.report_progress, task.attempt, None)
             if self.settings.progress:
-                self._agenda.at(now + self.settings.progress, self._progress, piece)
+                self._clock.call_at(now + self.settings.progress, self._progress, task)
 
-    def _set_up(self, key: int) -> int:
-        """How long it takes to have a program here."""
+    def _fetch_time(self, key: int) -> int:
+        """Return the time to fetch a program, 0 if it is cached."""
         if not key or self._store is None:
             return 0
-        self._store.asked += 1
-        wait = 0 if key in self._kept else self._store.fetch()
-        self._kept.pop(key, None)
-        self._kept[key] = None
-        if len(self._kept) > self._keeps:
-            del self._kept[next(iter(self._kept))]
+        self._store.lookups += 1
+        wait = 0 if key in self._cache else self._store.fetch()
+        self._cache.pop(key, None)
+        self._cache[key] = None
+        if len(self._cache) > self._cache_size:
+            del self._cache[next(iter(self._cache))]
         return wait
 
-    def _rate(self) -> float:
-        """Work done in a unit of time by each running job that begins now."""
-        rate = self.speed * self._warmth()
-        if self.ill is Ill.SLOW:
-            rate /= self.size
-        beyond = self.held / self.kind.cores - self.kind.thrash_at
-        return rate / (1.0 + self.kind.thrash * beyond) if beyond > 0 else rate
+    def _job_speed(self) -> float:
+        """Return the work per unit of time of a job that begins now."""
+        rate = self.speed * self._cold_factor()
+        if self.fault is FaultKind.SLOW:
+            rate /= self.severity
+        excess = self.outstanding / self.kind.cores - self.kind.thrash_at
+        return rate / (1.0 + self.kind.thrash * excess) if excess > 0 else rate
 
-    def _warmth(self) -> float:
-        if self.started < 0 or not self.settings.cold_time:
+    def _cold_factor(self) -> float:
+        if self.restarted_at < 0 or not self.settings.cold_time:
             return 1.0
-        risen = min(1.0, (self._agenda.now - self.started) / self.settings.cold_time)
-        return self.settings.cold_start_share + (1 - self.settings.cold_start_share) * risen
+        warmed_up = min(1.0, (self._clock.now - self.restarted_at) / self.settings.cold_time)
+        return self.settings.cold_start_share + (1 - self.settings.cold_start_share) * warmed_up
 
-    def _progress(self, piece: Piece) -> None:
-        if piece.over:
+    def _progress(self, task: Task) -> None:
+        if task.removed:
             return
-        now, every = self._agenda.now, self.settings.progress
-        if self.ill is not Ill.HANG:
-            done = min(1.0, (now - piece.begun) / piece.span)
-            self._agenda.at(now + self._delay(), piece.home.note, piece.attempt, done)
-        self._agenda.at(now + every, self._progress, piece)
-
-    def _finish(self, piece: Piece, turn: int) -> None:
-        if piece.over or piece.turn != turn:
+        now, interval = self._clock.now, self.settings.progress
+        if self.fault is not FaultKind.HANG:
+            done = min(1.0, (now - task.started_at) / task.running_time)
+            self._clock.call_at(now + self._delay(), task.sender.report_progress, task.attempt, done)
+        self._clock.call_at(now + interval, self._progress, task)
+
+    def _finish(self, task: Task, generation: int) -> None:
+        if task.removed or task.generation != generation:
             return
-        wasted = not piece.attempt.open
-        self._drop(piece, wasted)
+        wasted = not task.attempt.open
+        self._remove(task, wasted)
         failed = self.kind.error_rate > 0 and self._rng.random() < self.kind.error_rate
-        self._tell_end(piece, io.Result.ERROR if failed else io.Result.OK)
+        self._send_result(task, io.Result.ERROR if failed else io.Result.OK)
         self._start()
 
-    def _drop(self, piece: Piece, wasted: bool = True) -> None:
-        """It neither waits nor runs any more."""
-        piece.over = True
-        del self._pieces[piece.attempt]
-        self.held -= 1
-        if piece.begun >= 0:
-            self.running.remove(piece)
-            second = self._tally.at(self._agenda.now)
-            second.busy += self._agenda.now - piece.begun
-            second.wasted += (self._agenda.now - piece.begun) * wasted
-
-    def _tell_end(self, piece: Piece, result: io.Result) -> None:
-        report = self._shown if self.settings.reports is not io.Reports.OFF else ()
-        self._agenda.at(self._agenda.now + self._delay(), piece.home.end, piece.attempt, result, report)
-
-    # ---- what befalls it ------------------------------------------------------------------
-
-    def fall_ill(self, ill: Ill, size: float) -> None:
-        """Until :meth:`recover`."""
-        self.ill, self.size, self.found = ill, size, set()
-        if ill is Ill.HANG:
-            for piece in self.running:
-                piece.turn += 1
-                piece.left = max(1, piece.begun + piece.span - self._agenda.now)
-        elif ill in (Ill.REFUSES, Ill.SILENT):
-            for piece in list(self._pieces.values()):
-                self._drop(piece)
-                if ill is Ill.REFUSES:
-                    self._agenda.at(
-                        self._agenda.now + self._delay(), piece.home.end, piece.attempt, io.Result.RESET, ()
+    def _remove(self, task: Task, wasted: bool = True) -> None:
+        """Remove a waiting or running task."""
+        task.removed = True
+        del self._tasks[task.attempt]
+        self.outstanding -= 1
+        if task.started_at >= 0:
+            self.running.remove(task)
+            second = self._tally.second_at(self._clock.now)
+            second.busy_us += self._clock.now - task.started_at
+            second.wasted_us += (self._clock.now - task.started_at) * wasted
+
+    def _send_result(self, task: Task, result: io.Result) -> None:
+        report = self._last_report if self.settings.reports is not io.Reports.OFF else ()
+        self._clock.call_at(
+            self._clock.now + self._delay(), task.sender.report_result, task.attempt, result, report
+        )
+
+    # ---- faults ---------------------------------------------------------------------------
+
+    def inject_fault(self, fault: FaultKind, severity: float) -> None:
+        """Inject a fault that lasts until :meth:`recover`."""
+        self.fault, self.severity, self.detected_by = fault, severity, set()
+        if fault is FaultKind.HANG:
+            for task in self.running:
+                task.generation += 1
+                task.remaining = max(1, task.started_at + task.running_time - self._clock.now)
+        elif fault in (FaultKind.REFUSES, FaultKind.SILENT):
+            for task in list(self._tasks.values()):
+                self._remove(task)
+                if fault is FaultKind.REFUSES:
+                    self._clock.call_at(
+                        self._clock.now + self._delay(),
+                        task.sender.report_result,
+                        task.attempt,
+                        io.Result.RESET,
+                        (),
                     )
             self.queue.clear()
-            self._kept.clear()
+            self._cache.clear()
 
     def recover(self) -> None:
-        """What has hung goes on; what was dead starts cold."""
-        was, self.ill, now = self.ill, None, self._agenda.now
-        if was is Ill.HANG:
-            for piece in self.running:
-                piece.span = now - piece.begun + piece.left
-                self._agenda.at(now + piece.left, self._finish, piece, piece.turn)
-        elif was in (Ill.REFUSES, Ill.SILENT):
-            self.started = now
+        """End the fault: a worker that hung resumes its jobs, one that was dead starts cold."""
+        previous, self.fault, now = self.fault, None, self._clock.now
+        if previous is FaultKind.HANG:
+            for task in self.running:
+                task.running_time = now - task.started_at + task.remaining
+                self._clock.call_at(now + task.remaining, self._finish, task, task.generation)
+        elif previous in (FaultKind.REFUSES, FaultKind.SILENT):
+            self.restarted_at = now
         self._start()
 
 
 def draw_workers(kinds: Sequence[WorkerKind], count: int, rng: Random) -> list[WorkerKind]:
-    """The kinds of so many workers, as near to their shares as whole numbers are, in no order."""
-    total, part = sum(kind.share for kind in kinds), 0.0
+    """Assign a kind to each of ``count`` workers: shares rounded to whole numbers, in random order."""
+    total, share_sum = sum(kind.share for kind in kinds), 0.0
     drawn: list[WorkerKind] = []
     for kind in kinds:
-        part += kind.share
-        drawn += [kind] * (round(count * part / total) - len(drawn))
+        share_sum += kind.share
+        drawn += [kind] * (round(count * share_sum / total) - len(drawn))
     rng.shuffle(drawn)
     return drawn
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -1,4 +1,4 @@
-"""The real program's tracker around the module, in the place of the model's scheduler and in its time."""
+"""The real request tracker as a replacement for the model scheduler, in virtual time."""
 
 from datetime import timedelta
 
@@ -10,7 +10,7 @@
 
 
 class VirtualLoop:
-    """The loop as the tracker knows it, in the model's time."""
+    """The part of the event loop that the tracker uses, in virtual time."""
 
     def __init__(self, scheduler):
         self.scheduler, self.clock = scheduler, self
@@ -18,28 +18,28 @@
 
     @property
     def now(self):
-        return NowAndCall(microseconds=self.scheduler.agenda.now)
+        return CallableTime(microseconds=self.scheduler.clock.now)
 
     def call_at(self, due, call):
         timer = Timer(call)
-        self.scheduler.agenda.at(micros(due), self._ring, timer)
+        self.scheduler.clock.call_at(micros(due), self._fire, timer)
         return timer
 
-    def _ring(self, timer):
+    def _fire(self, timer):
         if timer.call is not None:
             timer.call()
             self.scheduler.tracker.decide_all()
 
 
-class NowAndCall(timedelta):
-    """``clock.now()`` and ``loop.now`` are the same here."""
+class CallableTime(timedelta):
+    """A time that serves as both ``loop.now`` and ``clock.now()``."""
 
     def __call__(self):
         return self
 
 
 class RequestTracker(real.RequestTracker):
-    """The real one; each of its turns goes on until nothing more comes up."""
+    """The real tracker; each turn continues until no events are left."""
 
     def decide_all(self):
         while self.events:
@@ -47,12 +47,12 @@
             self.decide()
 
 
-class Sent:
-    """An attempt of the real tracker, as a model worker knows it."""
+class SentAttempt:
+    """An attempt of the real tracker, in the form that a model worker expects."""
 
     def __init__(self, attempt, work):
         self.attempt, self.work, self.due = attempt, work, micros(attempt.due)
-        self.gone, self.key = None, 0
+        self.on_withdrawn, self.key = None, 0
 
     @property
     def open(self):
@@ -60,10 +60,10 @@
 
 
 class RealScheduler:
-    """In the place of the model's scheduler: the real tracker around the module."""
+    """Replaces the model scheduler: connects the module to the real tracker."""
 
-    def __init__(self, play, position):
-        self.play, self.position, self.agenda, self.module = play, position, play.agenda, None
+    def __init__(self, simulation, position):
+        self.simulation, self.position, self.clock, self.module = simulation, position, simulation.clock, None
         self.sent, self.works, self.watching = {}, {}, False
 
     def start(self, module, listed):
@@ -77,9 +77,9 @@
         self.tracker.tell(io.WorkerList(io.Listing.CACHED, listed))
         self.tracker.decide_all()
 
-    def take(self, client, work, patience, arrival):
+    def accept(self, client, work, timeout, arrival):
         us = timedelta(microseconds=1)
-        terms = real.Terms(arrival.job_class, "", arrival.tenant, "", patience * us, hint=arrival.hint * us)
+        terms = real.Terms(arrival.job_class, "", arrival.tenant, "", timeout * us, hint=arrival.hint * us)
 
         class Waiting:
             def has_left(self):
@@ -88,8 +88,8 @@
             def serve(self, result):
                 client.served()
 
-            def shed(self, stay_away):
-                client.refused(micros(stay_away))
+            def shed(self, retry_after):
+                client.refused(micros(retry_after))
 
             def fail(self, timed_out):
                 client.failed()
@@ -105,27 +105,29 @@
         self.tracker.decide_all()
 
     def send(self, attempt):
-        work = self.play.attempt_work(self.works[attempt.tracked.job.id], 0)
-        sent = self.sent[attempt] = Sent(attempt, work)
-        worker = self.play.workers[attempt.target.number]
-        self.agenda.at(self.agenda.now + self.play.worker_delay(), worker.take, sent, self)
-
-    def withdraw(self, attempt, gone):
+        work = self.simulation.draw_attempt_work(self.works[attempt.tracked.job.id], 0)
+        sent = self.sent[attempt] = SentAttempt(attempt, work)
+        worker = self.simulation.workers[attempt.target.number]
+        self.clock.call_at(
+            self.clock.now + self.simulation.worker_delay(), worker.receive_attempt, sent, self
+        )
+
+    def withdraw(self, attempt, on_withdrawn):
         sent = self.sent[attempt]
-        sent.gone = gone
-        worker = self.play.workers[attempt.target.number]
-        self.agenda.at(self.agenda.now + self.play.worker_delay(), worker.withdraw, sent, self)
+        sent.on_withdrawn = on_withdrawn
+        worker = self.simulation.workers[attempt.target.number]
+        self.clock.call_at(self.clock.now + self.simulation.worker_delay(), worker.withdraw, sent, self)
 
     def client_left(self, attempt):
-        """A model's worker has an attempt as soon as it is sent."""
+        """Does nothing: a model worker has an attempt as soon as it is sent."""
 
-    def note(self, sent, done):
+    def report_progress(self, sent, done):
         self.tracker.note(sent.attempt, done)
         self.tracker.decide_all()
 
-    def end(self, sent, result, report):
+    def report_result(self, sent, result, report):
         if result is io.Result.CANCELLED:
-            sent.gone()
+            sent.on_withdrawn()
         else:
             self.tracker.end(sent.attempt, result, report)
         self.tracker.decide_all()
