--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -1,8 +1,8 @@
-"""Durable jobs: scheduler processes killed at random points, throughput beside plain jobs, and recovery.
+"""Durable jobs: kills of the scheduler at random points, throughput compared to plain jobs, recovery.
 
     python benchmarks/durable.py [--quick] [--kills N] [--seed N]
 
-The last line is one JSON object.  Exit code 1 where a job was lost, answered twice or run against its class.
+The last line is JSON.  Exit code 1 if a job was lost, answered twice or repeated against its class.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 sys.path.insert(0, str(Path(__file__).parent))
 import msgspec
-from harness import WINDOW, Connection, Fleet, FleetProcess, Scheduler, percentile
+from harness import KEY_WINDOW_SECONDS, Connection, Fleet, FleetProcess, Scheduler, percentile
 
 from carthinge.durable.records import Accepted, Terms
 from carthinge.durable.store import Store, Time
@@ -37,24 +37,24 @@
 
 
 class Audit:
-    """What clients were told, to be held against what the workers did."""
+    """The answers that clients got, to compare with what the workers ran."""
 
     def __init__(self) -> None:
-        self.accepted: dict[str, str] = {}  # key -> the job's name
-        self.answers: dict[str, set[tuple[int, bytes]]] = {}  # key -> all answers that anybody got for it
-        self.unsafe: set[str] = set()  # keys of the class that forbids a repeat
+        self.accepted: dict[str, str] = {}  # key -> path of the job
+        self.answers: dict[str, set[tuple[int, bytes]]] = {}  # key -> all different answers
+        self.unsafe: set[str] = set()  # keys of the class whose jobs must not be repeated
         self.shed = 0
 
     def answered(self, key: str, status: int, body: bytes) -> None:
-        if status not in (202, 503):  # a refusal says that nothing ran and nothing was taken on
+        if status not in (202, 503):  # a refused job was neither accepted nor run
             self.answers.setdefault(key, set()).add((status, body))
 
     def verdict(self, fleet: Fleet, final: dict[str, tuple[int, bytes]]) -> dict[str, Any]:
-        """``final``: what the jobs answer when asked by name at the end, by their keys."""
+        """Return the counts; ``final`` holds, by key, the answers of the accepted jobs at the end."""
         runs: dict[str, list[float]] = {}
         for run in fleet.runs:
             runs.setdefault(run.key, []).append(run.began)
-        gaps = [later - first for begun in runs.values() for first, later in pairwise(begun)]
+        gaps = [later - first for starts in runs.values() for first, later in pairwise(starts)]
         served = [key for key, (status, _) in final.items() if status == 200]
         return {
             "accepted": len(self.accepted),
@@ -69,81 +69,83 @@
             ),
             "served": len(served),
             "served_by_nobody": sum(1 for key in served if key not in runs),
-            "keyed_repeats_in_window": sum(1 for gap in gaps if gap < WINDOW),
-            "run_again_after_window": sum(1 for gap in gaps if gap >= WINDOW),
+            "keyed_repeats_in_window": sum(1 for gap in gaps if gap < KEY_WINDOW_SECONDS),
+            "run_again_after_window": sum(1 for gap in gaps if gap >= KEY_WINDOW_SECONDS),
             "unsafe_run_twice": sum(1 for key in self.unsafe if len(runs.get(key, ())) > 1),
             "shed": self.shed,
         }
 
 
-async def kills(count: int, seed: int) -> dict[str, Any]:  # noqa: PLR0915  (a script, step by step)
-    """Kills the scheduler at points drawn by seed, while clients hand in jobs, and audits what came of it."""
+async def kills(count: int, seed: int) -> dict[str, Any]:  # noqa: PLR0915  (a linear script)
+    """Kills the scheduler at points drawn from the seed while clients send jobs, and audits the result."""
     rng = random.Random(seed)
-    fleet = Fleet(6, lambda draw: draw.choice((0.0, 0.005, 0.02, 0.2)), seed)
+    fleet = Fleet(6, lambda worker_rng: worker_rng.choice((0.0, 0.005, 0.02, 0.2)), seed)
     await fleet.start()
-    scheduler = Scheduler(fleet.names, OPTIONS)
+    scheduler = Scheduler(fleet.members, OPTIONS)
     fleet.scheduler = (scheduler.host, scheduler.port)
     audit = Audit()
-    ending = asyncio.Event()
+    stopping = asyncio.Event()
 
     async def client(number: int) -> None:
-        """Hands in jobs; one whose connection breaks is asked for again with the same key."""
-        draw = random.Random(seed * 1000 + number)
+        """Sends jobs; if the connection breaks, the job is sent again with the same key."""
+        client_rng = random.Random(seed * 1000 + number)
         connection = Connection(scheduler.host, scheduler.port)
-        step = tries = 0
-        while not ending.is_set():
+        step = requests = 0
+        while not stopping.is_set():
             step += 1
-            kind = "charge" if draw.random() < 0.25 else "reindex"
+            kind = "charge" if client_rng.random() < 0.25 else "reindex"
             key = f"{number}-{step}"
             if kind == "charge":
                 audit.unsafe.add(key)
-            asynchronous = draw.random() < 0.6
+            asynchronous = client_rng.random() < 0.6
             until = time.monotonic() + 8.0
             while time.monotonic() < until:
-                tries += 1
+                requests += 1
                 headers = {
                     **HEADERS,
-                    "Req-Id": f"c{number}-{tries}",
+                    "Req-Id": f"c{number}-{requests}",
                     "Req-Kind": kind,
                     "Idempotency-Key": key,
                 }
                 if asynchronous:
                     headers["Prefer"] = "respond-async"
                 try:
-                    status, answered, body = await connection.call("POST", "/api/x", headers, key.encode())
+                    status, response_headers, body = await connection.call(
+                        "POST", "/api/x", headers, key.encode()
+                    )
                 except OSError:
                     await asyncio.sleep(0.02)
                     continue
                 audit.shed += status == 503
                 audit.answered(key, status, body)
-                if "location" in answered and status != 503:
-                    audit.accepted[key] = answered["location"]
+                if "location" in response_headers and status != 503:
+                    audit.accepted[key] = response_headers["location"]
                 break
-            await asyncio.sleep(draw.random() * 0.05)
+            await asyncio.sleep(client_rng.random() * 0.05)
         connection.close()
 
     scheduler.start()
-    await scheduler.up()
+    await scheduler.wait_until_up()
     clients = [asyncio.create_task(client(number)) for number in range(12)]
     for _ in range(count):
         await asyncio.sleep(rng.uniform(0.0, 0.5))
         scheduler.kill()
         scheduler.start()
-        if rng.random() < 0.7:  # else the next kill may come while it starts, or recovers
-            await scheduler.up()
-    await scheduler.up()
-    ending.set()
+        if rng.random() < 0.7:  # otherwise the next kill may interrupt start or recovery
+            await scheduler.wait_until_up()
+    await scheduler.wait_until_up()
+    stopping.set()
     await asyncio.gather(*clients)
     final: dict[str, tuple[int, bytes]] = {}
 
     async def ask(keys: list[str]) -> None:
         connection = Connection(scheduler.host, scheduler.port)
         for key in keys:
-            for _ in range(2):  # the second time it must say the same
+            for _ in range(2):  # the second answer must be the same
                 status, _, body = await connection.call("GET", audit.accepted[key], {"Prefer": "wait=20"})
                 final[key] = (status, body)
                 audit.answered(key, status, body)
-                if status == 503:  # refused after it was taken on: nothing ran, and that is its answer
+                if status == 503:  # refused after it was accepted: nothing ran
                     audit.answers.setdefault(key, set()).add((status, body))
         connection.close()
 
@@ -158,9 +160,9 @@
         "kills": count,
         **verdict,
         "sent": fleet.posts,
-        "dropped_repeats": fleet.dropped,
+        "dropped_repeats": fleet.dropped_repeats,
         "conflicts": fleet.conflicts,
-        "unheard_calls": fleet.unheard,
+        "unheard_calls": fleet.undelivered,
         "leases_expired_last_start": figures["leases_expired"],
     }
 
@@ -168,15 +170,15 @@
 async def throughput(
     options: str, seconds: float, asynchronous: bool = False, clients: int = 64
 ) -> tuple[float, list[float]]:
-    """Jobs a second that clients in a closed loop get through, and how long each took."""
+    """Return the jobs per second of clients in a closed loop, and the latencies."""
     fleet = FleetProcess(12)
-    scheduler = Scheduler(fleet.names, options)
-    fleet.serve(scheduler.host, scheduler.port)
+    scheduler = Scheduler(fleet.members, options)
+    fleet.set_callback_address(scheduler.host, scheduler.port)
     scheduler.start()
-    await scheduler.up()
-    took: list[float] = []
+    await scheduler.wait_until_up()
+    latencies: list[float] = []
     until = time.monotonic() + seconds
-    marker = f"{time.monotonic_ns():x}"
+    run_id = f"{time.monotonic_ns():x}"
 
     async def client(number: int) -> None:
         connection = Connection(scheduler.host, scheduler.port)
@@ -185,34 +187,34 @@
             step += 1
             headers = {
                 **HEADERS,
-                "Req-Id": f"{marker}-{number}-{step}",
+                "Req-Id": f"{run_id}-{number}-{step}",
                 "Req-Kind": "reindex",
-                "Idempotency-Key": f"{marker}-{number}-{step}",
+                "Idempotency-Key": f"{run_id}-{number}-{step}",
             }
             if asynchronous:
                 headers["Prefer"] = "respond-async"
             status, _, _ = await connection.call("POST", "/api/x", headers, b"x" * 200)
             assert status in (200, 202), status
-            took.append(time.monotonic() - began)
+            latencies.append(time.monotonic() - began)
             if asynchronous:
-                await asyncio.sleep(0.05)  # so that accepting is measured, and not a queue of its own making
+                await asyncio.sleep(0.05)  # avoids a queue, so that only accepting is measured
         connection.close()
 
     began = time.monotonic()
     await asyncio.gather(*(client(number) for number in range(clients)))
-    rate = len(took) / (time.monotonic() - began)
+    rate = len(latencies) / (time.monotonic() - began)
     scheduler.kill()
     fleet.stop()
     shutil.rmtree(scheduler.folder)
-    return rate, took
+    return rate, latencies
 
 
 async def recovery(jobs: int) -> dict[str, float]:
-    """Starts on a store with so many open jobs, and calls /up meanwhile."""
-    scheduler = Scheduler([("s-0", "127.0.0.1:1")], OPTIONS)  # a worker that is not there: none is sent
+    """Starts on a store with this many open jobs, and calls /up meanwhile."""
+    scheduler = Scheduler([("s-0", "127.0.0.1:1")], OPTIONS)  # no worker at this address: no job is sent
     scheduler.start()
-    await scheduler.up()
-    empty = scheduler.rss_mb()
+    await scheduler.wait_until_up()
+    empty_mb = scheduler.rss_mb()
     scheduler.kill()
     now = time.monotonic_ns() // 1000 + 86_400_000_000  # the scheduler's clock
     boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
@@ -243,28 +245,28 @@
     store.close()
     began = time.monotonic()
     scheduler.start()
-    await scheduler.up()
+    await scheduler.wait_until_up()
     up_after = time.monotonic() - began
-    connection, slowest = Connection(scheduler.host, scheduler.port), 0.0
+    connection, slowest_call = Connection(scheduler.host, scheduler.port), 0.0
     while True:
-        asked = time.monotonic()
+        call_started = time.monotonic()
         await connection.call("GET", "/up")
-        slowest = max(slowest, time.monotonic() - asked)
+        slowest_call = max(slowest_call, time.monotonic() - call_started)
         if "event=store_loaded" in (log := scheduler.log.read_text()) and f"jobs={jobs} " in log:
             break
         assert time.monotonic() < began + 60, log[-2000:]
     took = time.monotonic() - began
     figures = (await scheduler.metrics())["durable"]
     assert figures["open"] >= jobs * 0.99, figures
-    used = scheduler.rss_mb()
+    used_mb = scheduler.rss_mb()
     connection.close()
     scheduler.kill()
     shutil.rmtree(scheduler.folder)
     return {
         "recovery_s_100k": took,
         "up_after_s": up_after,
-        "up_slowest_ms": slowest * 1000,
-        "bytes_per_open_job": (used - empty) * 1024 * 1024 / jobs,
+        "up_slowest_ms": slowest_call * 1000,
+        "bytes_per_open_job": (used_mb - empty_mb) * 1024 * 1024 / jobs,
     }
 
 
@@ -273,30 +275,30 @@
     parser.add_argument("--quick", action="store_true", help="10 kills, shorter loads; under 50 s")
     parser.add_argument("--kills", type=int, default=0)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    count = given.kills or (10 if given.quick else 100)
-    seconds = 3.0 if given.quick else 10.0
-    result: dict[str, Any] = {"seed": given.seed}
-    result |= asyncio.run(kills(count, given.seed))
+    arguments = parser.parse_args()
+    count = arguments.kills or (10 if arguments.quick else 100)
+    seconds = 3.0 if arguments.quick else 10.0
+    result: dict[str, Any] = {"seed": arguments.seed}
+    result |= asyncio.run(kills(count, arguments.seed))
     print("kills:", msgspec.json.encode(result).decode(), flush=True)
     rates: dict[str, list[float]] = {OPTIONS: [], "": []}
-    for _ in range(2 if given.quick else 4):  # in turns: the machine is not the same from one to the next
+    for _ in range(2 if arguments.quick else 4):  # alternate, since the speed of the machine varies
         for options, seen in rates.items():
             seen.append(asyncio.run(throughput(options, seconds / 2))[0])
     durable, plain = (sum(seen) / len(seen) for seen in rates.values())
-    rate, took = asyncio.run(throughput(OPTIONS, seconds, asynchronous=True))
+    rate, latencies = asyncio.run(throughput(OPTIONS, seconds, asynchronous=True))
     result |= {
         "durable_jobs_per_s": round(durable),
         "plain_jobs_per_s": round(plain),
         "ratio": round(durable / plain, 3),
-        "accept_p50_ms": round(percentile(took, 0.5) * 1000, 2),
-        "accept_p99_ms": round(percentile(took, 0.99) * 1000, 2),
+        "accept_p50_ms": round(percentile(latencies, 0.5) * 1000, 2),
+        "accept_p99_ms": round(percentile(latencies, 0.99) * 1000, 2),
         "accepts_per_s": round(rate),
     }
     print("throughput:", result["durable_jobs_per_s"], "of", result["plain_jobs_per_s"], flush=True)
     result |= {name: round(value, 3) for name, value in asyncio.run(recovery(100_000)).items()}
     print(json.dumps(result))
-    broken = (
+    violations = (
         "lost",
         "answered_twice",
         "keyed_repeats_in_window",
@@ -304,7 +306,7 @@
         "unsafe_run_twice",
         "served_by_nobody",
     )
-    if any(result[name] for name in broken) or result["answered_once"] != result["accepted"]:
+    if any(result[name] for name in violations) or result["answered_once"] != result["accepted"]:
         raise SystemExit(1)
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,13 +1,13 @@
-"""What a whole list, a change of it and a pick cost with 200, 500 and 1,100 workers and as many schedulers.
+"""Cost of a whole list, a change of it and a selection with 200, 500 and 1,100 workers and schedulers.
 
     python benchmarks/fleet_size.py [--quick]
 
-In one process, without sockets: the route table reads discovery's JSON and the module takes the list, then
-jobs are picked for, sent and served one after the other.  Memory is that of a process of its own for each
-size.  The last line is JSON, by size: milliseconds for the first whole list, for one that says the same and
-for a change of ten workers; microseconds for a job's two calls of the module, and for the three of one that
-is tried again; the same where connections have no price, so that each scheduler picks from the whole fleet
-and not from its part; megabytes resident after all that.
+Runs without sockets: the worker directory reads discovery's JSON and the module applies the list, then jobs
+are sent and served one after the other.  Each size runs in its own process.  The last line is JSON, by size:
+milliseconds for the first whole list, for an unchanged one and for a change of ten workers; microseconds for
+a job's two calls of the module, and for the three calls of a job with a retry; the same with free
+connections, where each scheduler selects from the whole fleet and not from its subset; resident megabytes at
+the end.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 SIZES = (200, 500, 1100)
 
 
-def listed(count: int, first: int = 0) -> bytes:
+def encode_list(count: int, first: int = 0) -> bytes:
     members = [
         {
             "id": f"s-{number:08x}",
@@ -49,22 +49,22 @@
     return json.dumps({"revision": 1, "complete": first == 0, "members": members}).encode()
 
 
-def timed(call: Callable[[], object], times: int) -> float:
-    """The median of so many calls, in seconds."""
-    spans = []
+def median_time(call: Callable[[], object], times: int) -> float:
+    """Return the median duration of ``times`` calls, in seconds."""
+    durations = []
     for _ in range(times):
         began = time.perf_counter()
         call()
-        spans.append(time.perf_counter() - began)
-    return median(spans)
+        durations.append(time.perf_counter() - began)
+    return median(durations)
 
 
 def measure(size: int, jobs: int) -> dict[str, float]:
-    part, whole = run(size, jobs, price=0.02), run(size, jobs, price=0.0)
+    subset, whole = run(size, jobs, price=0.02), run(size, jobs, price=0.0)
     with open("/proc/self/statm") as statm:
         pages = int(statm.read().split()[1])
     return {
-        **part,
+        **subset,
         "job_whole_us": whole["job_us"],
         "job_tried_again_whole_us": whole["job_tried_again_us"],
         "rss_mb": round(pages * 4096 / 1e6, 1),
@@ -80,18 +80,18 @@
     table, module = WorkerDirectory(site, Clock()), Dispatcher(site.decisions, 7)
     now = 100_000_000
 
-    def take(body: bytes, listing: io.Listing) -> None:
+    def apply(body: bytes, listing: io.Listing) -> None:
         module.handle(now, [table.take(_LISTS.decode(body), listing)])
 
-    whole, change = listed(size), listed(10, 1)
-    first = timed(lambda: take(whole, io.Listing.CACHED), 1)
-    again = timed(lambda: take(whole, io.Listing.WHOLE), 9)
-    changed = timed(lambda: take(change, io.Listing.CHANGES), 9)
-    once, twice, number = [], [], 0
+    whole, change = encode_list(size), encode_list(10, 1)
+    first = median_time(lambda: apply(whole, io.Listing.CACHED), 1)
+    same = median_time(lambda: apply(whole, io.Listing.WHOLE), 9)
+    changed = median_time(lambda: apply(change, io.Listing.CHANGES), 9)
+    single_times, retried_times, number = [], [], 0
     for step in range(2 * jobs):
         number, now = number + 1, now + 20_000
         began = time.perf_counter()
-        result = io.Result.FULL if step % 2 else io.Result.OK  # every second job is tried again
+        result = io.Result.FULL if step % 2 else io.Result.OK  # every second job needs a retry
         attempt, finished = 0, False
         actions = module.handle(now, [io.Arrival(number, 0, now + 5_000_000, step % 2, hint=20_000)])
         while not finished:
@@ -99,7 +99,7 @@
             if not sent:
                 raise SystemExit(f"{size} workers: job {number} was not sent")
             finished = result is io.Result.OK or attempt > 0
-            ended = io.Outcome(
+            outcome = io.Outcome(
                 number,
                 attempt,
                 sent[0].worker,
@@ -109,21 +109,21 @@
                 (0.5, 10.0, 2.0),
             )
             now, attempt = now + 15_000, attempt + 1
-            actions = module.handle(now, [ended])
-        (twice if step % 2 else once).append(time.perf_counter() - began)
+            actions = module.handle(now, [outcome])
+        (retried_times if step % 2 else single_times).append(time.perf_counter() - began)
     return {
         "first_list_ms": round(first * 1e3, 2),
-        "same_list_ms": round(again * 1e3, 2),
+        "same_list_ms": round(same * 1e3, 2),
         "change_ms": round(changed * 1e3, 2),
-        "job_us": round(median(once) * 1e6, 1),
-        "job_tried_again_us": round(median(twice) * 1e6, 1),
+        "job_us": round(median(single_times) * 1e6, 1),
+        "job_tried_again_us": round(median(retried_times) * 1e6, 1),
     }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
-    parser.add_argument("--size", type=int, help="of one run in a process of its own")
+    parser.add_argument("--size", type=int, help="run only this size, in this process")
     options = parser.parse_args()
     jobs = 300 if options.quick else 3000
     if options.size:
--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -1,7 +1,7 @@
-"""What talk between schedulers costs and does, in virtual time: ``benchmarks/fleet_talk.py [--quick]``.
+"""Cost and effect of messages among schedulers, in virtual time: ``benchmarks/fleet_talk.py [--quick]``.
 
-Deaths found, members held for dead that are not, bytes, healing after a split, what budgets can sum up to,
-and tries of a bad worker.  Spans are in periods, and a period is a second here.  The last line is one JSON.
+Measures the detection of deaths, false positives, bytes, healing after a partition, the maximum sum of lent
+quotas, and attempts at a failing worker.  Times are in periods of one second.  The last line is JSON.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 KEY = b"k" * 32
 SUMMARY = Summary(1 << 40, 1 << 20, 1 << 38, 1.5, [(3, 2), (4, 1)], 12.5, 80.0, [(1 << 63, 1 << 24)])
-FIRST_PAUSE, LONGEST_PAUSE = 1.2, 8.8  # seconds that a scheduler leaves a worker alone that has failed
+FIRST_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 1.2, 8.8  # during which a failed worker is avoided
 
 
-def size_of(packet: Packet) -> int:
+def encoded_size(packet: Packet) -> int:
     return len(encode(packet, KEY))
 
 
 def fleet(size: int, seed: int, loss: float) -> Net:
-    """Members that know each other from the start: how they join is another matter."""
+    """Create members that know each other from the start, as joining is not measured."""
     net = Net(seed, Rough(loss, 0.01))
     rumors = [Rumor(f"scheduler-{at}", Standing.ALIVE, 1000, f"scheduler-{at}") for at in range(size)]
     for at in range(size):
@@ -52,18 +52,18 @@
     return net
 
 
-def dead(net: Net) -> int:
+def count_deaths(net: Net) -> int:
     return sum(standing is Standing.DEAD for node in net.nodes.values() for _, standing in node.news)
 
 
 def deaths(size: int, loss: float, victims: int, quiet: int) -> dict[str, Any]:
-    """Some quiet periods, and then one after the other is killed."""
+    """Run some quiet periods, and then kill one member after the other."""
     net = fleet(size, size + int(loss * 100), loss)
     net.run(2 * SECOND)
-    net.size, before = size_of, net.messages
+    net.size, before = encoded_size, net.messages
     net.run(quiet * SECOND)
     sent, messages, net.size = net.bytes, net.messages - before, None
-    false, spans = dead(net), []
+    false_deaths, detection_times = count_deaths(net), []
     for victim in range(min(victims, size - 2)):
         name = f"scheduler-{size - 1 - victim}"
         net.kill(name)
@@ -75,21 +75,21 @@
             for other in list(unaware):
                 if net.nodes[other].members[name].standing is Standing.DEAD:
                     unaware.discard(other)
-                    spans.append((net.now - began).total_seconds())
+                    detection_times.append((net.now - began).total_seconds())
             if not unaware:
                 break
-        false += sum(
+        false_deaths += sum(
             standing is Standing.DEAD and who != name
             for node in net.nodes.values()
             for who, standing in node.news
         )
-    spans.sort()
-    half, most = len(spans) // 2, min(len(spans) - 1, int(0.99 * len(spans)))
+    detection_times.sort()
+    p50, p99 = len(detection_times) // 2, min(len(detection_times) - 1, int(0.99 * len(detection_times)))
     return {
-        "p50": round(spans[half], 1),
-        "p99": round(spans[most], 1),
-        "found": len(spans),
-        "false_deaths": false,
+        "p50": round(detection_times[p50], 1),
+        "p99": round(detection_times[p99], 1),
+        "found": len(detection_times),
+        "false_deaths": false_deaths,
         "bytes_member_s": round(sent / size / quiet),
         "messages_member_s": round(messages / size / quiet, 1),
         "longest": net.longest,
@@ -97,8 +97,8 @@
 
 
 def heal(size: int, every: int = 2) -> tuple[float, float]:
-    """Periods until one in ``every`` and the others, cut off from each other, hold each other for dead; and
-    from the heal on until all have one view."""
+    """Return the periods until the sides of a partition, one in ``every`` and the others, consider each other
+    dead, and the periods from its end until all have the same view."""
     net = fleet(size, size, 0.01)
     left = {name for at, name in enumerate(net.nodes) if at % every == 1}
     cut, began = True, net.now
@@ -115,30 +115,30 @@
 
 
 def budget(quick: bool) -> float:
-    """The most that all parts sum up to, over the whole, in every order of splits and heals."""
-    ways = {size: partitions([f"m{at}" for at in range(size)]) for size in (3, 4)}
+    """Return the maximum sum of all quota shares, relative to the whole, in every sequence of partitions."""
+    partitions_by_size = {size: partitions([f"m{at}" for at in range(size)]) for size in (3, 4)}
     worst = max(
-        played(3, splits, (seed % 3,), seed).worst / (3 * BASE)
-        for seed, splits in enumerate(product(ways[3], repeat=3 if quick else 5))
+        played(3, splits, (seed % 3,), seed).max_total / (3 * BASE)
+        for seed, splits in enumerate(product(partitions_by_size[3], repeat=3 if quick else 5))
     )
     return max(
         worst,
         max(
-            played(4, splits, (seed % 4,), seed).worst / (4 * BASE)
-            for seed, splits in enumerate(product(ways[4], repeat=1 if quick else 3))
+            played(4, splits, (seed % 4,), seed).max_total / (4 * BASE)
+            for seed, splits in enumerate(product(partitions_by_size[4], repeat=1 if quick else 3))
         ),
     )
 
 
-class Trying:
-    """A scheduler with one job every now and then, and one worker that fails it each time."""
+class ProbingScheduler:
+    """A scheduler with occasional jobs for one worker that always fails."""
 
     WORKER = 77
 
     def __init__(self, net: Net, rng: Random) -> None:
         self.net, self.rng = net, rng
-        self.strikes, self.avoid = 0, timedelta()
-        self.tries: list[timedelta] = []
+        self.strikes, self.next_attempt_at = 0, timedelta()
+        self.attempts: list[timedelta] = []
 
     def look(self, workers: Collection[int]) -> Facts:
         return Facts({self.WORKER: self.strikes} if self.strikes else {}, workers=100)
@@ -146,41 +146,44 @@
     def repeats(self) -> float:
         return 0.0
 
-    def turn(self, talk: Talk | None) -> None:
+    def step(self, talk: Talk | None) -> None:
         now = self.net.now
-        held = talk.view.ruling.alone.get(self.WORKER, timedelta()) if talk is not None else timedelta()
-        if now >= max(self.avoid, held):
-            self.tries.append(now)
-            pause = min(FIRST_PAUSE * 2 ** min(self.strikes, 16), LONGEST_PAUSE)
+        shared = talk.view.ruling.alone.get(self.WORKER, timedelta()) if talk is not None else timedelta()
+        if now >= max(self.next_attempt_at, shared):
+            self.attempts.append(now)
+            pause = min(FIRST_PAUSE_SECONDS * 2 ** min(self.strikes, 16), MAX_PAUSE_SECONDS)
             self.strikes += 1
-            self.avoid = now + pause * self.rng.uniform(0.75, 1.25) * SECOND
+            self.next_attempt_at = now + pause * self.rng.uniform(0.75, 1.25) * SECOND
 
 
-def probes(size: int, talking: bool, span: int) -> dict[str, float]:
-    """Tries of one bad worker a second, of all schedulers; the first ten seconds and those after."""
+def probes(size: int, with_talk: bool, seconds: int) -> dict[str, float]:
+    """Return the attempts per second at one failing worker, in the first ten seconds and after that."""
     net = fleet(size, 5, 0.01)
-    trying = {name: Trying(net, Random(at)) for at, name in enumerate(net.nodes)}
+    probing = {name: ProbingScheduler(net, Random(at)) for at, name in enumerate(net.nodes)}
     talks = {}
     for at, (name, machine) in enumerate(list(net.nodes.items())):
-        if talking:
-            talks[name] = net.nodes[name] = Talk(machine, 1, (), 1000 + at, trying[name], net.now)
-            net._wake(name)
+        if with_talk:
+            talks[name] = net.nodes[name] = Talk(machine, 1, (), 1000 + at, probing[name], net.now)
+            net._schedule(name)
     net.run(3 * SECOND)
     began = net.now
-    for scheduler in trying.values():  # a job comes to each within a second or so
-        scheduler.avoid = began + scheduler.rng.uniform(0, 1.5) * SECOND
-    for _ in range(span * 20):
+    for scheduler in probing.values():  # each gets a job within 1.5 seconds
+        scheduler.next_attempt_at = began + scheduler.rng.uniform(0, 1.5) * SECOND
+    for _ in range(seconds * 20):
         net.run(SECOND / 20)
-        for name, scheduler in trying.items():
-            scheduler.turn(talks.get(name))
-    tries = [(at - began).total_seconds() for scheduler in trying.values() for at in scheduler.tries]
-    late = [at for at in tries if at >= 10]
-    return {"first_10s": round((len(tries) - len(late)) / 10, 2), "later": round(len(late) / (span - 10), 2)}
+        for name, scheduler in probing.items():
+            scheduler.step(talks.get(name))
+    attempts = [(at - began).total_seconds() for scheduler in probing.values() for at in scheduler.attempts]
+    later = [at for at in attempts if at >= 10]
+    return {
+        "first_10s": round((len(attempts) - len(later)) / 10, 2),
+        "later": round(len(later) / (seconds - 10), 2),
+    }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="fewer sizes, deaths and splits")
+    parser.add_argument("--quick", action="store_true", help="fewer sizes, deaths and partitions")
     quick = parser.parse_args().quick
     sizes = (3, 20, 200) if quick else (3, 20, 200, 1100)
     result: dict[str, Any] = {"deaths": {}, "heal_periods": {}, "probes_per_bad_worker_s": {}}
@@ -189,16 +192,16 @@
             figures = deaths(size, loss, 3 if quick else 1 if size > 200 else 5, 5 if size > 100 else 40)
             result["deaths"][f"{size} at {loss:.0%}"] = figures
             print(size, loss, figures, flush=True)
-    for size, every in ((20, 2), (200, 2), (200, 20)):  # at 1,100 a split takes over 20 s a period to play
+    for size, every in ((20, 2), (200, 2), (200, 20)):  # 1,100 members take over 20 s per period
         figures = heal(size, every)
         result["heal_periods"][f"{size}, one in {every} cut off"] = figures
         print("cut, heal", size, every, figures, flush=True)
     result["budget_sum_worst"] = budget(quick)
     for size in (20, 200):
-        for talking in (False, True):
-            figures = probes(size, talking, 30 if quick else 60)
-            result["probes_per_bad_worker_s"][f"{size}, {'with' if talking else 'without'} talk"] = figures
-            print("probes", size, talking, figures, flush=True)
+        for with_talk in (False, True):
+            figures = probes(size, with_talk, 30 if quick else 60)
+            result["probes_per_bad_worker_s"][f"{size}, {'with' if with_talk else 'without'} talk"] = figures
+            print("probes", size, with_talk, figures, flush=True)
     print(json.dumps(result))
 
 
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,7 +1,7 @@
-"""A scheduler process, stub workers and clients for the benchmarks: all on loopback, by asyncio.
+"""A scheduler process, stub workers and clients for the benchmarks, on loopback and asyncio.
 
-The workers keep a log of what they really ran, and the clients one of what they were told: the auditors of
-the benchmarks compare the two.  Nothing here is shared with the scheduler.
+The workers log the jobs that they ran and the clients the answers that they got; the auditors of the
+benchmarks compare the two.  No code here is shared with the scheduler.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 from pathlib import Path
 from typing import Any
 
-WINDOW = 15.0  # seconds for which the fleet drops repeats of a key
-CALLS = 10  # times that a worker calls back at the most
-CALL_AGAIN = 0.15
+KEY_WINDOW_SECONDS = 15.0  # the workers drop repeats of a key for this long
+MAX_CALLBACKS = 10
+CALLBACK_RETRY_SECONDS = 0.15
 
-#: The site of the tests, with more room for its tenants and a longer wait for a list.
+#: The site of the tests, with higher quotas and a longer wait for a list.
 SITE: dict[str, Any] = json.loads((Path(__file__).parents[1] / "tests" / "site.json").read_text())
 SITE["tenants"] = [{**tenant, "quota_per_s": 100000.0} for tenant in SITE["tenants"]]
 SITE["rules"]["ask_within"] = 10000000
 
 
 def free_port(host: str) -> int:
-    with socket.create_server((host, 0)) as free:
-        return int(free.getsockname()[1])
+    with socket.create_server((host, 0)) as listener:
+        return int(listener.getsockname()[1])
 
 
 class Scheduler:
-    """The real program as a process, with a folder of its own."""
+    """The scheduler as a process with its own folder."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         site: dict[str, Any] | None = None,
         sockets: int = 4096,
     ) -> None:
-        """``workers``: names and addresses; ``{store}`` in ``options`` stands for the store's folder."""
+        """``workers``: names and addresses; ``{store}`` in ``options`` is replaced by the store's folder."""
         self.folder = Path(tempfile.mkdtemp(prefix="carthinge-bench"))
         self.store = self.folder / "store"
         self.host = "127.78.{}.{}".format(*divmod(os.getpid() % 65000 + 256, 256))
@@ -95,7 +95,7 @@
                 [sys.executable, "-m", "carthinge"], env=self._environment, stderr=log
             )
 
-    async def up(self) -> None:
+    async def wait_until_up(self) -> None:
         while True:
             assert self.process is not None and self.process.poll() is None, self.log.read_text()[-2000:]
             with contextlib.suppress(OSError):
@@ -110,9 +110,9 @@
 
     def rss_mb(self) -> float:
         assert self.process is not None
-        wanted = "RssAnon:"  # its own: the pages of shared libraries are not counted
+        prefix = "RssAnon:"  # without the pages of shared libraries
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
-            if line.startswith(wanted):
+            if line.startswith(prefix):
                 return int(line.split()[1]) / 1024
         raise AssertionError("no memory figure")
 
@@ -122,18 +122,18 @@
 
 
 class Connection:
-    """One kept connection; a call at a time."""
+    """A persistent connection that makes one call at a time."""
 
     def __init__(self, host: str, port: int) -> None:
-        self._at = (host, port)
+        self._address = (host, port)
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def call(
         self, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Raises OSError where the connection ends before the whole answer has come."""
+        """Raises OSError if the connection ends before the whole response is received."""
         if self._streams is None:
-            self._streams = await asyncio.open_connection(*self._at)
+            self._streams = await asyncio.open_connection(*self._address)
         reader, writer = self._streams
         lines = [f"{method} {path} HTTP/1.1", "Host: x", f"Content-Length: {len(body)}"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
@@ -141,14 +141,14 @@
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
             pairs = (line.split(": ", 1) for line in head[1:] if line)
-            answered = {name.lower(): value for name, value in pairs}
-            content = await reader.readexactly(int(answered.get("content-length", 0)))
-        except (OSError, asyncio.IncompleteReadError) as fault:
+            response_headers = {name.lower(): value for name, value in pairs}
+            response_body = await reader.readexactly(int(response_headers.get("content-length", 0)))
+        except (OSError, asyncio.IncompleteReadError) as error:
             self.close()
-            raise ConnectionError(str(fault)) from None
-        if answered.get("connection") == "close":
+            raise ConnectionError(str(error)) from None
+        if response_headers.get("connection") == "close":
             self.close()
-        return int(head[0].split()[1]), answered, content
+        return int(head[0].split()[1]), response_headers, response_body
 
     def close(self) -> None:
         if self._streams is not None:
@@ -168,7 +168,7 @@
 
 @dataclass
 class Run:
-    """One job that a worker really ran."""
+    """A job that a worker ran."""
 
     worker: str
     req_id: str
@@ -179,26 +179,26 @@
 
 @dataclass
 class Fleet:
-    """Stub workers that take part in leases: they run jobs, renew, and call back until they are heard."""
+    """Stub workers with leases: they run jobs, renew leases, and repeat a callback until it is answered."""
 
     size: int
     work: Callable[[random.Random], float]
     seed: int = 1
-    takes_part: bool = True
+    supports_leases: bool = True
     runs: list[Run] = field(default_factory=list)
-    dropped: int = 0  #: repeats of a key, not run
+    dropped_repeats: int = 0  #: repeats of a key that were not run
     posts: int = 0
-    conflicts: int = 0  #: call-backs answered 409
-    unheard: int = 0  #: call-backs given up
+    conflicts: int = 0  #: callbacks answered 409
+    undelivered: int = 0  #: callbacks given up
 
     def __post_init__(self) -> None:
         self.host = "127.79.{}.{}".format(*divmod(os.getpid() % 65000 + 256, 256))
-        self.names: list[tuple[str, str]] = []
+        self.members: list[tuple[str, str]] = []
         self.scheduler: tuple[str, int] = ("", 0)
         self._rng = random.Random(self.seed)
-        self._seen: dict[str, tuple[float, asyncio.Future[str]]] = {}
+        self._results_by_key: dict[str, tuple[float, asyncio.Future[str]]] = {}
         self._jobs: dict[tuple[str, str], asyncio.Task[None]] = {}
-        self._calls: list[Connection] = []
+        self._connections: list[Connection] = []
         self._servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
@@ -206,7 +206,7 @@
             name = f"s-{number}"
             server = await asyncio.start_server(lambda r, w, name=name: self._serve(name, r, w), self.host, 0)
             self._servers.append(server)
-            self.names.append((name, f"{self.host}:{server.sockets[0].getsockname()[1]}"))
+            self.members.append((name, f"{self.host}:{server.sockets[0].getsockname()[1]}"))
 
     async def stop(self) -> None:
         for task in self._jobs.values():
@@ -230,8 +230,8 @@
                     continue
                 self.posts += 1
                 req_id, token = headers["req-id"], headers.get("lease-token", "")
-                part = f"Lease-Token: {token}\r\n" if token and self.takes_part else ""
-                writer.write(f"HTTP/1.1 202 Accepted\r\n{part}Content-Length: 0\r\n\r\n".encode())
+                lease_header = f"Lease-Token: {token}\r\n" if token and self.supports_leases else ""
+                writer.write(f"HTTP/1.1 202 Accepted\r\n{lease_header}Content-Length: 0\r\n\r\n".encode())
                 self._jobs[name, req_id] = asyncio.create_task(
                     self._run(
                         name,
@@ -245,75 +245,77 @@
 
     async def _run(self, name: str, req_id: str, key: str, token: str, lease: float) -> None:
         now = time.monotonic()
-        seen = self._seen.get(key) if key else None
-        if seen is not None and now < seen[0] + WINDOW:  # the first one's result is every repeat's
-            self.dropped += 1
-            result = await asyncio.shield(seen[1])
+        earlier = self._results_by_key.get(key) if key else None
+        if earlier is not None and now < earlier[0] + KEY_WINDOW_SECONDS:  # a repeat gets the first result
+            self.dropped_repeats += 1
+            result = await asyncio.shield(earlier[1])
         else:
             done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
             if key:
-                self._seen[key] = (now, done)
+                self._results_by_key[key] = (now, done)
             run = Run(name, req_id, key, now)
             self.runs.append(run)
-            beats = asyncio.create_task(self._beat(name, req_id, token, lease)) if token and lease else None
+            renewal = (
+                asyncio.create_task(self._renew(name, req_id, token, lease)) if token and lease else None
+            )
             try:
-                span = self.work(self._rng)
-                if span:
-                    await asyncio.sleep(span)
+                duration = self.work(self._rng)
+                if duration:
+                    await asyncio.sleep(duration)
             finally:
-                if beats is not None:
-                    beats.cancel()
+                if renewal is not None:
+                    renewal.cancel()
             run.ended = time.monotonic()
             result = f"{req_id} by {name} at {run.ended:.6f}"
             done.set_result(result)
-        await self._tell(name, req_id, token, "done", result)
+        await self._call_back(name, req_id, token, "done", result)
         self._jobs.pop((name, req_id), None)
 
-    async def _beat(self, name: str, req_id: str, token: str, lease: float) -> None:
+    async def _renew(self, name: str, req_id: str, token: str, lease: float) -> None:
         while True:
-            await self._tell(name, req_id, token, "heartbeat", once=True)
+            await self._call_back(name, req_id, token, "heartbeat", once=True)
             await asyncio.sleep(lease / 3)
 
-    async def _tell(
+    async def _call_back(
         self, name: str, req_id: str, token: str, state: str, result: str = "", once: bool = False
     ) -> None:
         event: dict[str, Any] = {"id": req_id, "from": name, "state": state}
-        if token and self.takes_part:
+        if token and self.supports_leases:
             event["token"] = int(token)
         if result:
             event["result"] = result
         body = json.dumps(event).encode()
-        for _ in range(1 if once else CALLS):
-            connection = self._calls.pop() if self._calls else Connection(*self.scheduler)
+        for _ in range(1 if once else MAX_CALLBACKS):
+            connection = self._connections.pop() if self._connections else Connection(*self.scheduler)
             try:
                 status, _, _ = await connection.call("POST", "/v1/job-events", body=body)
             except OSError:
-                await asyncio.sleep(CALL_AGAIN)
+                await asyncio.sleep(CALLBACK_RETRY_SECONDS)
                 continue
-            self._calls.append(connection)
+            self._connections.append(connection)
             self.conflicts += status == 409
             return
-        self.unheard += 1
+        self.undelivered += 1
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else float("nan")
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else float("nan")
 
 
 class FleetProcess:
-    """A fleet that serves at once, in a process of its own: clients and workers must not slow each other."""
+    """A fleet that serves at once, in its own process so that clients and workers do not slow each other."""
 
     def __init__(self, size: int) -> None:
         self._process = subprocess.Popen(
             [sys.executable, __file__, str(size)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
         assert self._process.stdout is not None
-        named = json.loads(self._process.stdout.readline())
-        self.names: list[tuple[str, str]] = [tuple(pair) for pair in named]
+        listed = json.loads(self._process.stdout.readline())
+        self.members: list[tuple[str, str]] = [tuple(pair) for pair in listed]
 
-    def serve(self, host: str, port: int) -> None:
-        """Where it calls back from now on."""
+    def set_callback_address(self, host: str, port: int) -> None:
+        """Set the address of the callbacks."""
         assert self._process.stdin is not None
         self._process.stdin.write(json.dumps([host, port]).encode() + b"\n")
         self._process.stdin.flush()
@@ -323,16 +325,16 @@
         self._process.wait()
 
 
-async def _serve_alone(size: int) -> None:
-    fleet = Fleet(size, lambda draw: 0.0, takes_part=False)
+async def _run_fleet(size: int) -> None:
+    fleet = Fleet(size, lambda rng: 0.0, supports_leases=False)
     await fleet.start()
-    print(json.dumps(fleet.names), flush=True)
+    print(json.dumps(fleet.members), flush=True)
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
-    if line:  # else whoever started it has gone
+    if line:  # empty if the parent process is gone
         host, port = json.loads(line)
         fleet.scheduler = (host, port)
         await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
 
 
 if __name__ == "__main__":
-    asyncio.run(_serve_alone(int(sys.argv[1])))
+    asyncio.run(_run_fleet(int(sys.argv[1])))
--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -1,6 +1,6 @@
-"""Budgets that pass between schedulers with clocks of their own, over lines that lose, repeat and delay.
+"""Lent quotas and retry budgets among schedulers with drifting clocks and an unreliable transport.
 
-Used by tests as well: whatever happens, ``check`` holds after each message and each period.
+Used by tests as well; ``check`` runs after each message and each period.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def partitions(names: list[str]) -> list[list[list[str]]]:
-    """Every way to split them into sides."""
+    """Return all partitions of the names."""
     if not names:
         return [[]]
     first, rest = names[0], names[1:]
@@ -28,24 +28,24 @@
     return found
 
 
-class Mail:
-    """Messages of any fate: lost, once, twice; now, in a while, or after the whole of a loan's span."""
+class Transport:
+    """Messages are lost, delivered or duplicated; at once, delayed, or delayed beyond a loan's duration."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.rng = Random(seed)
         self.time = timedelta()
         self.names = [f"m{number}" for number in range(size)]
-        self.lives = 0
+        self.incarnation = 0
         self.sides = [self.names]
         self.under_way: list[tuple[timedelta, tuple[str, str, str, int, int]]] = []
 
     def send(self, *message) -> None:  # type: ignore[no-untyped-def]
         for _ in range(self.rng.choice((0, 1, 1, 1, 2))):
-            late = self.rng.choice((0.0, 0.0, 0.0, 1.5, SPAN * 0.9, SPAN * 1.1)) * PERIOD
-            self.under_way.append((self.time + late, message))
+            delay = self.rng.choice((0.0, 0.0, 0.0, 1.5, SPAN * 0.9, SPAN * 1.1)) * PERIOD
+            self.under_way.append((self.time + delay, message))
 
-    def arrived(self) -> list[tuple[str, str, str, int, int]]:
-        """Those that are due, of which a cut swallows some."""
+    def receive_due(self) -> list[tuple[str, str, str, int, int]]:
+        """Remove and return the messages that are due, without those lost to a partition."""
         due = [item for item in self.under_way if item[0] <= self.time]
         for item in due:
             self.under_way.remove(item)
@@ -55,8 +55,8 @@
         return next(side for side in self.sides if name in side)
 
 
-class World(Mail):
-    """Ledgers with clocks of their own rate."""
+class World(Transport):
+    """Ledgers whose clocks run at different rates."""
 
     def __init__(self, size: int, seed: int, drift: float = 0.009) -> None:
         super().__init__(size, seed)
@@ -64,7 +64,7 @@
             name: (timedelta(days=self.rng.random()), 1 + self.rng.uniform(-drift, drift))
             for name in self.names
         }
-        self.worst = 0  # sum of all parts, at the most
+        self.max_total = 0  # maximum sum of all parts
         self.ledgers: dict[str, Ledger] = {}
         for name in self.names:
             self.start(name)
@@ -74,12 +74,12 @@
         return offset + self.time * rate
 
     def start(self, name: str) -> None:
-        """As after a crash: it knows nothing of what it has lent."""
-        self.lives += 1000
-        self.ledgers[name] = Ledger(name, [0], PERIOD, self.now(name), self.lives)
+        """Start as after a crash: the record of loans is lost."""
+        self.incarnation += 1000
+        self.ledgers[name] = Ledger(name, [0], PERIOD, self.now(name), self.incarnation)
 
     def deliver(self, left: dict[str, float]) -> None:
-        for kind, sender, to, number, units in self.arrived():
+        for kind, sender, to, number, units in self.receive_due():
             ledger, now = self.ledgers[to], self.now(to)
             if kind == "grant":
                 ledger.receive(now, sender, 0, number, units)
@@ -102,13 +102,13 @@
 
     def check(self) -> None:
         parts = self.parts()
-        self.worst = max(self.worst, sum(parts.values()))
+        self.max_total = max(self.max_total, sum(parts.values()))
         assert sum(parts.values()) <= BASE * len(self.names), (self.time, parts)
         assert all(BASE - LENDABLE <= part <= BASE + LENDABLE for part in parts.values())
 
 
 def played(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> World:
-    """One span of all together, so that a restart's hold is over, and then each split for a while."""
+    """Run all connected until the hold after a restart is over, then with each partition for a while."""
     world = World(size, seed)
     left = {name: 0.0 if number in busy else 1.0 for number, name in enumerate(world.names)}
     for _ in range(SPAN + 1):
@@ -120,40 +120,40 @@
     return world
 
 
-class Stores(Mail):
-    """Budgets for further attempts: what is spent was earned, whoever is cut off from whom."""
+class BudgetWorld(Transport):
+    """Retry budgets: only earned retries are spent, in every partition."""
 
     def __init__(self, size: int, seed: int) -> None:
         super().__init__(size, seed)
         self.budgets: dict[str, RetryBudget] = {}
         self.gifts: dict[str, BudgetTransfer] = {}
-        self.due = 0.0  # attempts that all starts and all served jobs have brought, less those spent
+        self.unspent = 0.0  # retries granted at starts and earned by served jobs, minus those spent
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
-        """As after a crash: what its life before had left is gone, and so are its asks."""
-        self.lives += 1000
-        self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.lives)
+        """Start as after a crash: the retries left and the open requests are lost."""
+        self.incarnation += 1000
+        self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.incarnation)
         self.gifts[name].retune(self.budgets[name].most)
-        self.due += self.budgets[name].left
+        self.unspent += self.budgets[name].left
 
     def period(self, busy: Sequence[str], served: int = 40) -> None:
-        """Each serves so many; the busy ones spend what they can."""
+        """Each serves ``served`` jobs; the busy ones spend all retries that they can."""
         self.time += PERIOD
         for name, budget in self.budgets.items():
             for _ in range(served):
                 before = budget.left
                 budget.earn()
-                self.due += budget.left - before
+                self.unspent += budget.left - before
             while name in busy and budget.allows():
                 budget.spend()
-                self.due -= 1
+                self.unspent -= 1
             others = [other for other in self.side(name) if other != name]
             if asking := self.gifts[name].ask(budget.left, others):
                 self.send("ask", name, asking.lender, asking.number, asking.units)
         for _ in range(3):
-            for kind, sender, to, number, units in self.arrived():
+            for kind, sender, to, number, units in self.receive_due():
                 others = [other for other in self.side(to) if other != to]
                 gifts, budget = self.gifts[to], self.budgets[to]
                 if kind == "grant":
@@ -165,14 +165,14 @@
 
     def check(self) -> None:
         left = [budget.left for budget in self.budgets.values()]
-        assert sum(left) <= self.due + 1e-6, (self.time, left, self.due)
-        assert all(0 <= each <= budget.most for each, budget in zip(left, self.budgets.values(), strict=True))
+        assert sum(left) <= self.unspent + 1e-6, (self.time, left, self.unspent)
+        assert all(0 <= own <= budget.most for own, budget in zip(left, self.budgets.values(), strict=True))
         assert sum(left) <= RetryBudget.bound(len(self.names))
 
 
-def spent(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> Stores:
-    """All idle until stores are full, and then each split for a while."""
-    world = Stores(size, seed)
+def spent(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> BudgetWorld:
+    """Run all idle until the budgets are full, and then with each partition for a while."""
+    world = BudgetWorld(size, seed)
     for _ in range(4):
         world.period(())
     for sides in splits:
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,9 +1,9 @@
-"""Memory of a scheduler under load, with short and with long deadlines: a job that has ended costs nothing.
+"""Memory of a scheduler under load, with short and with long deadlines: ended jobs must not use memory.
 
     python benchmarks/memory.py [--quick]
 
 Closed loop, 200 clients, 40 workers that serve at once.  The last line is JSON: megabytes at rest, in the
-middle and at the end of each run, and the jobs of it.
+middle and at the end of each run, and its jobs per second.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 async def run(deadline_ms: int, seconds: float) -> dict[str, float]:
     fleet = FleetProcess(40)
-    scheduler = Scheduler(fleet.names)
-    fleet.serve(scheduler.host, scheduler.port)
+    scheduler = Scheduler(fleet.members)
+    fleet.set_callback_address(scheduler.host, scheduler.port)
     scheduler.start()
-    await scheduler.up()
+    await scheduler.wait_until_up()
     result: dict[str, float] = {"rest_mb": round(scheduler.rss_mb(), 1)}
     began, served = time.monotonic(), 0
 
@@ -45,12 +45,12 @@
             served += status == 200
         connection.close()
 
-    async def watch() -> None:
-        for part, name in ((0.5, "middle_mb"), (0.95, "end_mb")):
-            await asyncio.sleep(began + part * seconds - time.monotonic())
+    async def sample() -> None:
+        for fraction, name in ((0.5, "middle_mb"), (0.95, "end_mb")):
+            await asyncio.sleep(began + fraction * seconds - time.monotonic())
             result[name] = round(scheduler.rss_mb(), 1)
 
-    await asyncio.gather(watch(), *(client(number) for number in range(200)))
+    await asyncio.gather(sample(), *(client(number) for number in range(200)))
     scheduler.kill()
     fleet.stop()
     shutil.rmtree(scheduler.folder)
@@ -61,7 +61,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     seconds = 8.0 if parser.parse_args().quick else 25.0
-    result = {f"deadline_{span}_s": asyncio.run(run(span * 1000, seconds)) for span in (5, 60)}
+    result = {f"deadline_{deadline}_s": asyncio.run(run(deadline * 1000, seconds)) for deadline in (5, 60)}
     for name, figures in result.items():
         print(name, figures)
     print(json.dumps({"seconds": seconds, **result}))
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -1,11 +1,11 @@
-"""Three ways to keep durable jobs, beside each other: SQLite (the program's store), LMDB, and a plain log.
+"""Comparison of three stores of durable jobs: SQLite (the program's store), LMDB, and a plain log.
 
     python benchmarks/stores.py [--quick]
 
 Each writes the same jobs in the same batches (one accepted, granted and ended record for each job) from a
-thread, while the main thread is idle and while it works as a busy loop does.  The log is the least that can
-be called one: checksummed frames, one fdatasync a batch, read back into a dictionary.  The last line is JSON.
-Wants lmdb beside the requirements: pip install -r benchmarks/requirements.txt
+thread, while the main thread is idle and while it runs a busy loop.  The log is minimal:
+checksummed frames, one fdatasync per batch, read back into a dictionary.  The last line is JSON.
+Requires lmdb in addition: pip install -r benchmarks/requirements.txt
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 class Engine(Protocol):
     def apply(self, numbers: range, end: bool) -> None:
-        """Accepts and grants these jobs, and ends them too; on disk when it returns."""
+        """Accepts and grants these jobs, and ends them if ``end`` is set; durable on return."""
 
     def recover(self) -> int:
-        """Reads all open jobs back into memory, as after a start; how many."""
+        """Reads all open jobs back into memory, as after a start, and returns their number."""
 
 
 def records(numbers: range, end: bool) -> list[Any]:
@@ -82,12 +82,12 @@
         self._store.close()
         self._store.open(NOW)
         jobs, after = 0, 0
-        while found := self._store.open_jobs(after, 500).jobs:
-            jobs, after = jobs + len(found), found[-1].accepted.number
+        while page := self._store.open_jobs(after, 500).jobs:
+            jobs, after = jobs + len(page), page[-1].accepted.number
         return jobs
 
 
-def fields(record: Any) -> bytes:
+def encode_fields(record: Any) -> bytes:
     return msgspec.msgpack.encode([getattr(record, name) for name in record.__slots__])
 
 
@@ -106,12 +106,12 @@
         with self._env.begin(write=True) as transaction:
             for record in records(numbers, end):
                 if isinstance(record, Accepted):
-                    transaction.put(record.number.to_bytes(8, "big"), fields(record), db=self._jobs)
+                    transaction.put(record.number.to_bytes(8, "big"), encode_fields(record), db=self._jobs)
                 elif isinstance(record, Granted):
-                    transaction.put(record.token.to_bytes(8, "big"), fields(record), db=self._attempts)
+                    transaction.put(record.token.to_bytes(8, "big"), encode_fields(record), db=self._attempts)
                 else:
                     transaction.delete(record.number.to_bytes(8, "big"), db=self._jobs)
-                    transaction.put(record.number.to_bytes(8, "big"), fields(record), db=self._ended)
+                    transaction.put(record.number.to_bytes(8, "big"), encode_fields(record), db=self._ended)
 
     def recover(self) -> int:
         self._env.close()
@@ -131,17 +131,17 @@
 
     def apply(self, numbers: range, end: bool) -> None:
         body = msgspec.msgpack.encode(
-            [(type(record).__name__, fields(record)) for record in records(numbers, end)]
+            [(type(record).__name__, encode_fields(record)) for record in records(numbers, end)]
         )
         os.write(self._file, struct.pack("<II", len(body), crc32(body)) + body)
         os.fdatasync(self._file)
 
     def recover(self) -> int:
         jobs: dict[int, Any] = {}
-        data, at = self._path.read_bytes(), 0
-        while at + 8 <= len(data):
-            size, crc = struct.unpack_from("<II", data, at)
-            body = data[at + 8 : at + 8 + size]
+        data, offset = self._path.read_bytes(), 0
+        while offset + 8 <= len(data):
+            size, crc = struct.unpack_from("<II", data, offset)
+            body = data[offset + 8 : offset + 8 + size]
             if len(body) < size or crc32(body) != crc:
                 break
             for name, packed in msgspec.msgpack.decode(body):
@@ -150,7 +150,7 @@
                     jobs[values[0]] = values
                 elif name == "Ended":
                     jobs.pop(values[0], None)
-            at += 8 + size
+            offset += 8 + size
         return len(jobs)
 
 
@@ -160,26 +160,26 @@
     result: dict[str, float] = {}
     number = 1
 
-    def write(took: list[float]) -> None:
+    def write(latencies: list[float]) -> None:
         nonlocal number
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             began = time.perf_counter()
             engine.apply(range(number, number + batch), True)
-            took.append(time.perf_counter() - began)
+            latencies.append(time.perf_counter() - began)
             number += batch
 
     for name, busy in (("idle", False), ("busy", True)):
-        took: list[float] = []
-        thread = threading.Thread(target=write, args=(took,))
+        latencies: list[float] = []
+        thread = threading.Thread(target=write, args=(latencies,))
         thread.start()
         if busy:
-            while thread.is_alive():  # as the loop of a scheduler at its limit: Python all the time
+            while thread.is_alive():  # like the event loop of a fully loaded scheduler
                 sum(len(str(step)) for step in range(200))
         thread.join()
-        result[f"jobs_per_s_{name}"] = round(len(took) * batch / sum(took))
-        result[f"commit_p50_ms_{name}"] = round(percentile(took, 0.5) * 1000, 2)
-        result[f"commit_p99_ms_{name}"] = round(percentile(took, 0.99) * 1000, 2)
+        result[f"jobs_per_s_{name}"] = round(len(latencies) * batch / sum(latencies))
+        result[f"commit_p50_ms_{name}"] = round(percentile(latencies, 0.5) * 1000, 2)
+        result[f"commit_p99_ms_{name}"] = round(percentile(latencies, 0.99) * 1000, 2)
     for start in range(number, number + open_jobs, 1000):
         engine.apply(range(start, min(start + 1000, number + open_jobs)), False)
     size = sum(path.stat().st_blocks * 512 for path in folder.rglob("*") if path.is_file())
@@ -194,9 +194,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
-    given = parser.parse_args()
-    sys.setswitchinterval(0.00025)  # as the program has it
-    seconds, open_jobs = (1.0, 20_000) if given.quick else (5.0, 100_000)
+    arguments = parser.parse_args()
+    sys.setswitchinterval(0.00025)  # as in the program
+    seconds, open_jobs = (1.0, 20_000) if arguments.quick else (5.0, 100_000)
     engines: dict[str, Callable[[Path], Engine]] = {"sqlite": Sqlite, "lmdb": Lmdb, "log": Log}
     results = {name: measure(make, seconds, 30, open_jobs) for name, make in engines.items()}
     for name, figures in results.items():
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -1,4 +1,4 @@
-"""Schedulers' talk in virtual time: a net of pure machines whose messages are lost, repeated and delayed.
+"""A network of pure state machines in virtual time; messages are lost, duplicated and delayed.
 
 A machine is anything with ``due``, ``tick`` and ``hear``; addresses are names.  Used by tests as well.
 """
@@ -25,22 +25,22 @@
 
 @dataclass
 class Rough:
-    """What happens to messages."""
+    """Faults of the network."""
 
     loss: float = 0.0
     twice: float = 0.0
-    delay: tuple[float, float] = (0.001, 0.01)  # seconds, drawn evenly: what overtakes is reordered
+    delay: tuple[float, float] = (0.001, 0.01)  # seconds, uniform; messages may be reordered
 
 
 @dataclass
 class Net:
     seed: int
     rough: Rough = field(default_factory=Rough)
-    passes: Callable[[str, str], bool] = lambda sender, to: True  # cuts
-    size: Callable[[Packet], int] | None = None  # of a message, for the count of bytes
+    passes: Callable[[str, str], bool] = lambda sender, to: True  # False in a partition
+    size: Callable[[Packet], int] | None = None  # size of a message, for counting bytes
     now: timedelta = timedelta()
     nodes: dict[str, Any] = field(default_factory=dict)
-    stopped: set[str] = field(default_factory=set)  # SIGSTOP: what comes waits, as far as a buffer goes
+    stopped: set[str] = field(default_factory=set)  # as by SIGSTOP: messages are buffered up to a limit
     messages: int = 0
     bytes: int = 0
     longest: int = 0
@@ -48,14 +48,14 @@
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
         self._heap: list[tuple[timedelta, int, str, Packet | None]] = []
-        self._count = 0
-        self._waiting: dict[str, list[Packet]] = {}
-        self._wakes: dict[str, timedelta] = {}
+        self._sequence = 0
+        self._buffered: dict[str, list[Packet]] = {}
+        self._due_times: dict[str, timedelta] = {}
 
     def add(self, name: str, machine: Machine) -> None:
         self.nodes[name] = machine
-        self._wakes.pop(name, None)
-        self._wake(name)
+        self._due_times.pop(name, None)
+        self._schedule(name)
 
     def kill(self, name: str) -> None:
         del self.nodes[name]
@@ -66,13 +66,13 @@
 
     def go_on(self, name: str) -> None:
         self.stopped.discard(name)
-        for packet in self._waiting.pop(name, []):
-            self._take(name, packet)
+        for packet in self._buffered.pop(name, []):
+            self._deliver(name, packet)
         self.send(name, self.nodes[name].tick(self.now))
-        self._wake(name)
+        self._schedule(name)
 
-    def send(self, sender: str, sendings: list[tuple[str, Packet]]) -> None:
-        for to, packet in sendings:
+    def send(self, sender: str, outgoing: list[tuple[str, Packet]]) -> None:
+        for to, packet in outgoing:
             if self.size is not None:
                 size = self.size(packet)
                 self.bytes += size
@@ -85,7 +85,7 @@
                     self._push(self.now + self.rng.uniform(*self.rough.delay) * SECOND, to, packet)
 
     def run(self, span: timedelta, until: Callable[[], bool] | None = None) -> bool:
-        """Plays on; True as soon as ``until`` holds, which is looked at after each event."""
+        """Run on; return True as soon as ``until`` holds, which is checked after each event."""
         end = self.now + span
         while self._heap and self._heap[0][0] <= end:
             self.now, _, name, packet = heappop(self._heap)
@@ -93,34 +93,34 @@
             if node is None:
                 continue
             if packet is None:
-                if self._wakes.get(name) != self.now:
-                    continue  # an earlier one was asked for since
-                del self._wakes[name]
+                if self._due_times.get(name) != self.now:
+                    continue  # replaced by an earlier one
+                del self._due_times[name]
                 if name in self.stopped:
                     continue
                 if node.due() <= self.now:
                     self.send(name, node.tick(self.now))
             elif name in self.stopped:
-                self._waiting.setdefault(name, []).append(packet)
-                del self._waiting[name][200:]
+                self._buffered.setdefault(name, []).append(packet)
+                del self._buffered[name][200:]
                 continue
             else:
-                self._take(name, packet)
-            self._wake(name)
+                self._deliver(name, packet)
+            self._schedule(name)
             if until is not None and until():
                 return True
         self.now = end
         return False
 
-    def _take(self, name: str, packet: Packet) -> None:
+    def _deliver(self, name: str, packet: Packet) -> None:
         self.send(name, self.nodes[name].hear(self.now, packet))
 
-    def _wake(self, name: str) -> None:
+    def _schedule(self, name: str) -> None:
         due = max(self.nodes[name].due(), self.now)
-        if name not in self._wakes or due < self._wakes[name]:
-            self._wakes[name] = due
+        if name not in self._due_times or due < self._due_times[name]:
+            self._due_times[name] = due
             self._push(due, name, None)
 
     def _push(self, due: timedelta, name: str, packet: Packet | None) -> None:
-        self._count += 1
-        heappush(self._heap, (due, self._count, name, packet))
+        self._sequence += 1
+        heappush(self._heap, (due, self._sequence, name, packet))
