--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -94,5 +94,5 @@
         if to in self.endpoints:
             self.clock.call_at(self.clock.now + DELAY_US, self.endpoints[to].receive, packet)
 
-    def span(self) -> int:
+    def period_us(self) -> int:
         return micros(self.period)
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -1,6 +1,6 @@
 """A network of pure state machines in virtual time; messages are lost, duplicated and delayed.
 
-A machine is anything with ``due``, ``tick`` and ``hear``; addresses are names.  Used by tests as well.
+Each node is a ``Machine``; addresses are names.  Used by tests as well.
 """
 
 from __future__ import annotations
@@ -84,9 +84,9 @@
                 if self.rng.random() >= self.rough.loss:
                     self._push(self.now + self.rng.uniform(*self.rough.delay) * SECOND, to, packet)
 
-    def run(self, span: timedelta, until: Callable[[], bool] | None = None) -> bool:
+    def run(self, duration: timedelta, until: Callable[[], bool] | None = None) -> bool:
         """Run on; return True as soon as ``until`` holds, which is checked after each event."""
-        end = self.now + span
+        end = self.now + duration
         while self._heap and self._heap[0][0] <= end:
             self.now, _, name, packet = heappop(self._heap)
             node = self.nodes.get(name)
--- a/carthinge/model/clients.py
+++ b/carthinge/model/clients.py
@@ -149,7 +149,7 @@
         self._schedule_next()
 
     def _schedule_next(self) -> None:
-        """Draw the gap at the current rate, and draw it anew from the time at which the rate changes."""
+        """Draw the gap at the current rate, and again from the time at which the rate changes."""
         at = self.clock.now
         for end, rate in self._load_phases:
             if at >= end or rate <= 0:
