--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Eleven hundred workers, and as many schedulers: nothing is capped below that, and a pick costs no more."""
+"""1,100 workers and as many schedulers: no limit is lower, and worker selection does not slow down."""
 
 import re
 from pathlib import Path
@@ -14,11 +14,11 @@
 
 COUNT = 1100
 LARGE = {**SETTINGS, "instances": COUNT, "position": COUNT - 1, "prices": {"handshake": 0.02}}
-MEMORY_MB = 64  # of the 80 that the smallest drawn limit leaves
+MEMORY_MB = 64  # the smallest limit in the tests leaves 80
 
 
 class Fleet:
-    """As many workers at one address; the scheduler's log tells which of them was meant."""
+    """All workers have one address; the scheduler's log tells which of them a job was sent to."""
 
     def __init__(self, world):
         self.world = world
@@ -28,7 +28,7 @@
         return [member(name, self.world.workers[0].port, phase) for name in self.world.names[:count]]
 
     def serve(self, prefix, times):
-        """So many jobs, one after the other; returns the workers that they were sent to."""
+        """Serves jobs one after the other; returns the workers that they were sent to."""
         used = set()
         for step in range(times):
             client = self.world.submit(f"{prefix}{step}")
@@ -40,12 +40,12 @@
         return used
 
 
-def test_a_fleet_of_eleven_hundred_is_served_listed_whole_changed_gone_and_back(tmp_path):
+def test_large_fleet_is_listed_changed_and_restored(tmp_path):
     with World(tmp_path, settings=LARGE) as world:
         fleet = Fleet(world)
         peer, _ = world.watched()
         peer.answer(200, told(8, *fleet.members(), complete=True))
-        peer.read()  # the next call: that answer has taken effect
+        peer.read()  # the next call: the answer has been applied
         assert world.metrics()["workers_known"] == COUNT and fleet.serve("a", 20)
         peer.answer(200, told(9, *fleet.members("Terminating", COUNT - 50)))
         peer.read()
@@ -60,19 +60,19 @@
         assert int(statm.split()[1]) * 4096 < MEMORY_MB * 1_000_000
 
 
-def test_a_watch_waits_no_longer_than_discovery_allows_however_many_share_it(tmp_path):
+def test_watch_wait_is_capped(tmp_path):
     with World(tmp_path, settings={**LARGE, "instances": 5000, "position": 0}) as world:
         assert world.watched()[1].split()[1].endswith("&wait=60000")
 
 
-def test_a_pick_does_not_look_at_the_whole_fleet(monkeypatch):
-    looks = 0
+def test_selection_does_not_scan_fleet(monkeypatch):
+    calls = 0
 
-    def counted(of):
+    def counted(function):
         def call(*arguments):
-            nonlocal looks
-            looks += 1
-            return of(*arguments)
+            nonlocal calls
+            calls += 1
+            return function(*arguments)
 
         return call
 
@@ -85,25 +85,27 @@
         may_copy=False,
         kinds=3,
     )
-    module = Dispatcher(config, 5)
-    module.handle(0, [listing(*(io.WorkerEntry(number, kind=number % 3) for number in range(1, COUNT + 1)))])
-    (sent,) = [a for a in module.handle(1000, [arrival(now=1000)]) if isinstance(a, io.Send)]
+    dispatcher = Dispatcher(config, 5)
+    dispatcher.handle(
+        0, [listing(*(io.WorkerEntry(number, kind=number % 3) for number in range(1, COUNT + 1)))]
+    )
+    (sent,) = [a for a in dispatcher.handle(1000, [arrival(now=1000)]) if isinstance(a, io.Send)]
     (again,) = [
         a
-        for a in module.handle(2000, [outcome(1, 0, sent.worker, io.Result.RESET)])
+        for a in dispatcher.handle(2000, [outcome(1, 0, sent.worker, io.Result.RESET)])
         if isinstance(a, io.Send)
     ]
     assert again.worker != sent.worker
-    assert looks < COUNT / 10
+    assert calls < COUNT / 10
 
 
-def test_kinds_are_drawn_by_what_all_of_their_workers_can_do():
-    """Twenty workers of four times the strength get as many of the blind picks as eighty others."""
+def test_kinds_are_drawn_by_total_capacity():
+    """20 workers of four times the capacity are drawn as often as 80 others without load reports."""
     config = settings(instances=COUNT, may_copy=False, weights=io.Weights.NOMINAL)
     drawn = {0: 0, 1: 0}
     for seed in range(400):
-        module = Dispatcher(config, seed)
-        module.handle(
+        dispatcher = Dispatcher(config, seed)
+        dispatcher.handle(
             0,
             [
                 listing(
@@ -114,7 +116,7 @@
                 )
             ],
         )
-        pool = module.fleet.pool(-1)
-        for worker in module.selector.candidates(None, pool, []):
+        pool = dispatcher.fleet.pool(-1)
+        for worker in dispatcher.selector.candidates(None, pool, []):
             drawn[worker.entry.kind] += 1
     assert 0.8 < drawn[0] / drawn[1] < 1.25
