--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -29,19 +29,22 @@
     def __init__(self, number: int) -> None:
         """``number``: requests are numbered from it on; higher than in the previous run if possible."""
         self.given = self.taken = 0  #: units in total, for the metrics
-        self.budget, self.most = -1, 0.0
+        self.budget, self.max_retries = -1, 0.0
         self._number = number
         self._pending: dict[int, str] = {}  # number and giver
         self._answered: dict[str, int] = {}  # the last number of each taker
 
-    def retune(self, most: float) -> None:
+    def retune(self, max_retries: float) -> None:
         """Sets the maximal balance; members with another one have another budget."""
-        if most != self.most:
-            self.most, self.budget = most, budget_id("\0attempts", EARNED_PER_SERVED_JOB, most)
+        if max_retries != self.max_retries:
+            self.max_retries, self.budget = (
+                max_retries,
+                budget_id("\0attempts", EARNED_PER_SERVED_JOB, max_retries),
+            )
 
     def ask(self, left: float, givers: Sequence[str]) -> BudgetRequest | None:
         """Returns a request if the balance ``left`` is low; called once a period."""
-        if not givers or left >= BUSY * self.most:
+        if not givers or left >= BUSY * self.max_retries:
             return None
         self._number += 1
         giver = givers[self._number % len(givers)]
@@ -56,7 +59,7 @@
             return 0
         self._answered = {name: last for name, last in self._answered.items() if name in takers}
         self._answered[taker] = number
-        units = min(units, self._piece(), int((left - IDLE * self.most) * UNITS))
+        units = min(units, self._piece(), int((left - IDLE * self.max_retries) * UNITS))
         if units <= 0:
             return 0
         self.given += units
@@ -71,4 +74,4 @@
         return units
 
     def _piece(self) -> int:
-        return int(self.most * UNITS) // PIECES
+        return int(self.max_retries * UNITS) // PIECES
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -73,8 +73,8 @@
 class SheddingLevel:
     """The shedding level of one scheduler.  Times are microseconds on the caller's clock."""
 
-    def __init__(self, bearable: float) -> None:
-        self.bearable = max(1.0, bearable)  # the tolerable wait for a start, a moving average
+    def __init__(self, tolerable_wait: float) -> None:
+        self.bearable = max(1.0, tolerable_wait)  # the tolerable wait for a start, a moving average
         self.waiting = 0  # attempts that were sent and have not started, as far as starts are reported
         self.up = False
         self.rises = 0  # times that shedding began
@@ -150,9 +150,9 @@
             "attempts_waiting": max(0, self.waiting),
         }
 
-    def sheds(self, rank: int, work: float, bearable: float, point: int, run: float, now: int) -> bool:
+    def sheds(self, rank: int, work: float, tolerable_wait: float, point: int, run: float, now: int) -> bool:
         """Whether to shed a job that has just arrived, by its rank, and by its point within the rank."""
-        self.bearable += (max(1.0, bearable) - self.bearable) * 0.05
+        self.bearable += (max(1.0, tolerable_wait) - self.bearable) * 0.05
         self._offered.add(rank, work, now)
         kept = self.kept(run, now)
         shed = kept < 1 and self._offered.is_in_lowest(1 - kept, rank, point)
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -49,8 +49,8 @@
         self._rng = Random(seed)
         self._agenda = Agenda()
         self._last_number = self._rounds = 0
-        self._ping_order: list[str] = []  # the rest of this pass over all members; beats have their own
-        self._beat_order: list[str] = []
+        self._ping_order: list[str] = []  # the rest of this pass over all members; gossip has its own
+        self._gossip_order: list[str] = []
         self._checks: dict[int, Member] = {}  # in progress, by number
         self._starts, self._net_failed = 1, 0  # checks: started per period; failed in it less passed
         self._page_start = 0  # the position in another member's list to request next
@@ -125,7 +125,7 @@
             self._agenda.at(now, self._round)
 
     def _round(self, now: timedelta) -> None:
-        """Once a period: starts checks, sends beats, pings an unreachable member and continues the sync."""
+        """Once a period: starts checks, sends gossip, pings an unreachable member and continues the sync."""
         if self.left:
             return
         self._rounds += 1
@@ -133,7 +133,7 @@
         self._start_checks(now)
         sent_to: set[str] = set()
         for _ in range(limits.FANOUT):
-            if (member := self._next_member(self._beat_order)) is None or member.name in sent_to:
+            if (member := self._next_member(self._gossip_order)) is None or member.name in sent_to:
                 break
             sent_to.add(member.name)
             self.voice.queue(Kind.BEAT, member)
@@ -382,7 +382,7 @@
 
     def _add_to_orders(self, member: Member) -> None:
         """Inserts a member at a random place of the passes in progress."""
-        for order in (self._ping_order, self._beat_order):
+        for order in (self._ping_order, self._gossip_order):
             order.insert(self._rng.randrange(len(order) + 1), member.name)
         self.voice.announce(member)
 
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -38,7 +38,7 @@
     PULL = 4  #: requests a PAGE of the member list from a position on
     PAGE = 5
     LEAVE = 6  #: the sender is shutting down
-    ASK = 7  #: requests units of a budget
+    BUDGET_REQUEST = 7  #: requests units of a budget
     GRANT = 8
 
 
@@ -98,5 +98,5 @@
     relay_to: Address = ""  #: PING and ACK: the address to relay the ACK to
     rumors: Annotated[list[Rumor], msgspec.Meta(max_length=128)] = []
     summary: Summary | None = None
-    budget_id: Uint48 = 0  #: ASK and GRANT
+    budget_id: Uint48 = 0  #: BUDGET_REQUEST and GRANT
     units: Units = 0
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -66,8 +66,8 @@
     ruling: EjectionDecision = field(default_factory=EjectionDecision)
     levels: dict[int, int] = field(default_factory=dict)  #: agreed ones, of each cell with enough votes
     pressure: float = 0.0  #: the median
-    parts: dict[int, float] = field(default_factory=dict)  #: of each quota; 1.0 is the member's own
-    voices: int = 1  #: members with a fresh summary, with this one
+    shares: dict[int, float] = field(default_factory=dict)  #: of each quota; 1.0 is the member's own
+    voters: int = 1  #: members with a fresh summary, with this one
 
 
 class Talk:
@@ -88,7 +88,7 @@
         self.ledger = Ledger(membership.name, budgets, self.period, now, membership.voice.incarnation)
         self.retry_transfer = BudgetTransfer(membership.voice.incarnation)
         self.ejections = SharedEjections(membership.name, self.period)
-        self.view = View(parts=dict.fromkeys(budgets, 1.0))
+        self.view = View(shares=dict.fromkeys(budgets, 1.0))
         self.rounds = 0
         self.changes = 0  #: of the view
         self._transferred = 0
@@ -120,15 +120,18 @@
             return out
         if packet.summary is not None:
             self.summaries.accept(now, packet.name, packet.summary)
-        if packet.kind in (Kind.ASK, Kind.GRANT) and packet.budget_id == self.retry_transfer.budget:
+        if (
+            packet.kind in (Kind.BUDGET_REQUEST, Kind.GRANT)
+            and packet.budget_id == self.retry_transfer.budget
+        ):
             self._transfer_retries(packet, sender)
-        elif packet.kind is Kind.ASK:
+        elif packet.kind is Kind.BUDGET_REQUEST:
             self.ledger.meet([member.name for member in self.membership.here()])
             units = self.ledger.grant(
                 now, packet.name, packet.budget_id, packet.number, packet.units, self._fill_levels
             )
             if units:
-                self.view.parts = self._shares(now)  # lent units must not be used once the grant is sent
+                self.view.shares = self._shares(now)  # lent units must not be used once the grant is sent
                 self.changes += 1
                 self.membership.voice.queue(
                     Kind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
@@ -147,10 +150,10 @@
         self._layout = self.summaries.layout = layout
         self.ledger.budgets = budgets
         self._fill_levels = {}
-        self.view.parts = self._shares(now)
+        self.view.shares = self._shares(now)
         self.changes += 1
 
-    def alone(self, now: timedelta) -> dict[int, float]:
+    def standalone_shares(self, now: timedelta) -> dict[int, float]:
         """The shares for a scheduler that leaves the fleet: without borrowed units, less the lent ones."""
         ledger = self.ledger
         return {budget: ledger.part(now, budget, ledger.span) / BASE for budget in ledger.budgets}
@@ -194,7 +197,7 @@
                 self.membership.voice.queue(Kind.BEAT, member)
         for request in self.ledger.ask(now, facts.fill_levels):
             self.membership.voice.queue(
-                Kind.ASK,
+                Kind.BUDGET_REQUEST,
                 members[request.lender],
                 request.number,
                 budget_id=request.budget,
@@ -203,7 +206,7 @@
         self.retry_transfer.retune(facts.max_retries)
         if retries := self.retry_transfer.ask(facts.retries_left, self.ledger.lenders()):
             self.membership.voice.queue(
-                Kind.ASK,
+                Kind.BUDGET_REQUEST,
                 members[retries.lender],
                 retries.number,
                 budget_id=retries.budget,
@@ -263,10 +266,10 @@
 
     def figures(self) -> dict[str, object]:
         """The metrics of the fleet."""
-        counts, decision, shares = self.membership.counts(), self.view.ruling, self.view.parts.values()
+        counts, decision, shares = self.membership.counts(), self.view.ruling, self.view.shares.values()
         return {
             **{f"members_{name}": counts[name] for name in ("alive", "suspect", "dead", "left")},
-            "voices": self.view.voices,
+            "voices": self.view.voters,
             "pressure": round(self.view.pressure, 3),
             "level_most": max(self.view.levels.values(), default=0),
             "part_least": round(min(shares, default=1.0), 3),
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -60,7 +60,7 @@
         """``emit``: passes a view to the dispatcher before it decides on anything else."""
         self.loop, self.options, self.name, self.site = loop, options, name, site
         self.counts: Counter[str] = Counter()
-        self._insight, self._emit = self._make_insight(dispatcher), emit
+        self._adapter, self._emit = self._make_adapter(dispatcher), emit
         self._key = Path(options.key_file).read_bytes().strip() if options.key_file else b""
         self._sock: socket.socket | None = None
         self._node: Talk | None = None
@@ -104,7 +104,7 @@
             now,
         )
         self._node = Talk(
-            membership, self._layout(), self._insight.budgets.keys(), rng.randrange(UINT48_LIMIT), self, now
+            membership, self._layout(), self._adapter.budgets.keys(), rng.randrange(UINT48_LIMIT), self, now
         )
         self.loop.register(sock, READ, lambda _: self._read())
         self._on_timer()
@@ -126,15 +126,17 @@
             self._send(self._node.leave(self.loop.clock.now()))
         self.loop.forget(self._sock)
         self._sock.close()
-        self._emit(FleetView(parts=self._tenant_shares(self._node.alone(self.loop.clock.now()), 1.0)))
+        self._emit(
+            FleetView(parts=self._tenant_shares(self._node.standalone_shares(self.loop.clock.now()), 1.0))
+        )
         self._sock = self._node = None
 
     def retune(self, site: Site) -> None:
         """Applies new settings."""
         self.site = site
-        self._insight = self._make_insight(self._insight.dispatcher)
+        self._adapter = self._make_adapter(self._adapter.dispatcher)
         if self._node is not None:
-            self._node.retune(self.loop.clock.now(), self._layout(), self._insight.budgets.keys())
+            self._node.retune(self.loop.clock.now(), self._layout(), self._adapter.budgets.keys())
             self._emit_view()
 
     def figures(self) -> dict[str, Any]:
@@ -149,16 +151,16 @@
 
     def look(self, workers: Collection[int]) -> Facts:
         """The current observations of the dispatcher, with the signs of life of these workers."""
-        return self._insight.look(workers, self.loop.now // MICROSECOND)
+        return self._adapter.look(workers, self.loop.now // MICROSECOND)
 
     def repeats(self) -> float:
         """The current retry budget."""
-        return self._insight.dispatcher.context.budget.left
+        return self._adapter.dispatcher.context.budget.left
 
     def _layout(self) -> int:
         return layout_digest(self.site.tenants, self.site.classes)
 
-    def _make_insight(self, dispatcher: Dispatcher) -> Insight:
+    def _make_adapter(self, dispatcher: Dispatcher) -> Insight:
         site = self.site
         return Insight(dispatcher, quota_budgets(site.tenants, site.decisions), len(site.classes))
 
@@ -208,12 +210,12 @@
     def _emit_view(self) -> None:
         if self._node is not None and self._node.changes != self._emitted_changes:
             self._emitted_changes = self._node.changes
-            self._emit(self._insight.view(self._node, self._tenant_shares(self._node.view.parts, 1.0)))
+            self._emit(self._adapter.view(self._node, self._tenant_shares(self._node.view.shares, 1.0)))
 
     def _tenant_shares(self, known: Mapping[int, float], default: float) -> tuple[float, ...]:
         """The quota shares by the positions of the tenants; 1.0 for quotas that are not lent."""
         shares = [1.0] * len(self.site.decisions.tenants)
-        for budget, at in self._insight.budgets.items():
+        for budget, at in self._adapter.budgets.items():
             shares[at] = known.get(budget, default)
         return tuple(shares)
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -310,7 +310,7 @@
         Packet(Kind.PING, "n", "a", 1 << 48),
         Packet(Kind.PING, "n", "a" * 65, 1),
         Packet(99, "n", "a", 1),
-        Packet(Kind.ASK, "n", "a", 1, units=-1),
+        Packet(Kind.BUDGET_REQUEST, "n", "a", 1, units=-1),
         Packet(Kind.BEAT, "n", "a", 1, rumors=[PACKET.rumors[0]] * 129),
     ],
 )
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -41,7 +41,7 @@
         member = Membership(name, name, ["n0"], SECOND, 1000, number, net.now)
         net.schedulers[name] = FakeScheduler()
         net.add(name, Talk(member, 7, [1], number + 1, net.schedulers[name], net.now))
-    assert net.run(40 * SECOND, lambda: all(node.view.voices == 5 for node in net.nodes.values()))
+    assert net.run(40 * SECOND, lambda: all(node.view.voters == 5 for node in net.nodes.values()))
     return net
 
 
@@ -59,13 +59,13 @@
     net.run(12 * SECOND)  # loans of a previous run have expired
     for name, scheduler in net.schedulers.items():
         scheduler.facts["fill_levels"] = {1: 0.0 if name == "n1" else 1.0}
-    assert net.run(20 * SECOND, lambda: shares_within_total(net) and net.nodes["n1"].view.parts[1] > 1.4)
+    assert net.run(20 * SECOND, lambda: shares_within_total(net) and net.nodes["n1"].view.shares[1] > 1.4)
     net.run(30 * SECOND, lambda: not shares_within_total(net))
     for scheduler in net.schedulers.values():
         scheduler.facts["fill_levels"] = {1: 0.5}
     assert net.run(
         30 * SECOND,
-        lambda: shares_within_total(net) and all(node.view.parts[1] == 1.0 for node in net.nodes.values()),
+        lambda: shares_within_total(net) and all(node.view.shares[1] == 1.0 for node in net.nodes.values()),
     )
 
 
@@ -83,7 +83,7 @@
 
 def shares_within_total(net):
     """Checks the shares that the dispatchers use, not only the ledgers, at any time."""
-    assert sum(node.view.parts[1] for node in net.nodes.values()) <= 5
+    assert sum(node.view.shares[1] for node in net.nodes.values()) <= 5
     return True
 
 
@@ -91,7 +91,7 @@
     for node in net.nodes.values():
         node.retune(net.now, 8, [2])
     net.run(3 * SECOND)
-    assert all(list(node.view.parts) == [2] for node in net.nodes.values())
+    assert all(list(node.view.shares) == [2] for node in net.nodes.values())
 
 
 def test_ejection_ends_when_trier_succeeds(net):
@@ -141,7 +141,7 @@
         net.run(SECOND / 4)
     for node in net.nodes.values():
         assert node.view.levels == {5: 2} and node.view.pressure == 1.0
-        assert not node.view.ruling.suspected_count and node.view.parts[1] <= 1.5
+        assert not node.view.ruling.suspected_count and node.view.shares[1] <= 1.5
         assert node.figures()["summaries_refused"] > 0
 
 
