--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -105,13 +105,13 @@
         to: Member,
         number: int = 0,
         target: str = "",
-        target_incarnation: int = 0,
+        incarnation: int = 0,
         relay_to: str = "",
         rumors: list[Rumor] | None = None,
         budget_id: int = 0,
         units: int = 0,
     ) -> None:
-        """Queues a message to a member; each contains the receiver's state as seen here."""
+        """Queues a message to a member, with its state as seen here; ``incarnation``: of the target."""
         self._queued.append(
             (
                 to.address,
@@ -124,7 +124,7 @@
                     to.incarnation,
                     number,
                     target,
-                    target_incarnation,
+                    incarnation,
                     relay_to,
                     self.rumors.take(self.member_count) if rumors is None else rumors,
                     self.summary if kind in WITH_SUMMARY else None,
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -1,11 +1,10 @@
-"""The membership protocol: which schedulers are alive, by random pings, suspicion and indirect pings.
-
-A pure state machine after SWIM: messages and the time go in, messages come out.  Unlike in SWIM, deaths are
-not disseminated.  Suspicions are: each member that learns of one waits for the suspect to refute it, then
-checks the suspect itself, directly and through other members, and declares it dead, in its own view alone,
-only if all these checks fail.  So no message of another member can make a live one dead, and a partition
-heals from both sides: every message tells its receiver if the sender suspects it or considers it dead, and
-the receiver refutes that with a higher incarnation.
+"""The membership protocol, after SWIM: random pings, suspicion and indirect pings find members that fail.
+
+A pure state machine: messages and the time go in, messages come out.  Unlike in SWIM, only suspicions are
+disseminated, not deaths: a member that learns of one waits for the suspect to refute it, then checks it
+itself, also through others, and considers it dead, for itself alone, only if these checks fail.  So no
+message of another member can make a live one dead.  A partition heals from both sides: each message tells
+its receiver whether the sender suspects it or considers it dead, and it refutes with a higher incarnation.
 """
 
 from __future__ import annotations
@@ -33,8 +32,8 @@
         seed: int,
         now: timedelta,
     ) -> None:
-        """``seeds``: the addresses to contact first, with or without the own one.  ``incarnation``: higher
-        than that of the previous run if possible (milliseconds since 1970, for example)."""
+        """``seeds``: the addresses to contact first; the own one is ignored.  ``incarnation``: higher than in
+        the previous run if possible (milliseconds since 1970, for example)."""
         self.name, self.period = name, period
         self.voice = GossipSender(name, address, incarnation)
         self.members: dict[str, Member] = {}
@@ -42,7 +41,7 @@
         self._gone: dict[str, Member] = {}  # the members that are dead or have left
         self._sorted: list[Member] = []  # the live members by name; empty: to be sorted again
         self._by_address: dict[str, Member] = {}  # the last known member at each address
-        self.news: list[tuple[str, Standing]] = []  #: changes of state; whoever reads them clears them
+        self.news: list[tuple[str, Standing]] = []  #: cleared by the reader
         self.left = False
         self._seeds = [other for other in seeds if other != address]
         self._former: list[str] = []  # addresses of the members known before this process was stopped
@@ -324,7 +323,7 @@
         elif kind is Kind.ACK and packet.relay_to:
             if (member := self._live_at(packet.relay_to)) is not None:
                 self.voice.queue(
-                    Kind.ACK, member, number=number, target=sender.name, target_incarnation=sender.incarnation
+                    Kind.ACK, member, number=number, target=sender.name, incarnation=sender.incarnation
                 )
         elif kind is Kind.ACK:
             self._handle_ack(now, packet, sender)
