--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -1,4 +1,4 @@
-"""Durable jobs on their way in: joined to an open one of their key, shed, or taken on when on disk."""
+"""Admission of durable jobs: join an open job with the same key, shed, or accept once on disk."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Final, Protocol
 
 from carthinge.durable import records
-from carthinge.durable.held import Ending, Held, HeldBy, Waiter
+from carthinge.durable.held import Ending, Held, JobRecorder, Waiter
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, Shed
 from carthinge.durable.records import Accepted, Found, JobState
@@ -19,60 +19,60 @@
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Job, Terms
 
-ACCEPTED_WITHIN: Final = timedelta(seconds=1)  # else a job is shed: its client must not wait for a sick disk
-ACCEPTED_SHARE: Final = 0.5  # of its client's time, if that is less
-LONGEST_HINT: Final = timedelta(days=365)  # what is written down of an absurd one has to fit
-STAY_AWAY: Final = timedelta(seconds=1)  # after a refusal for want of disk or room
+ACCEPT_TIMEOUT: Final = timedelta(seconds=1)  # then shed: a client must not wait for a slow disk
+MAX_ACCEPT_TIME_SHARE: Final = 0.5  # of the client's time left, if that is less
+MAX_HINT: Final = timedelta(days=365)  # keeps absurd hints within the range of the stored integer
+RETRY_AFTER: Final = timedelta(seconds=1)  # after shedding for lack of disk or space
 
 
-class Jobs(HeldBy, Protocol):
-    """Whom jobs belong to once they are taken on."""
+class JobManager(JobRecorder, Protocol):
+    """Manages jobs once they are accepted."""
 
     writer: Writer | None
-    leaving: bool  #: another process is to have the store, or has it
+    leaving: bool  #: the store is being handed over, or belongs to another process
 
-    def next(self) -> int:
-        """A number that no job and no attempt of this store ever had."""
+    def next_number(self) -> int:
+        """Return a number that no job and no attempt of this store ever had."""
 
     def postpone(self, call: Callable[[], None]) -> None:
-        """While the store is to leave: ``call`` is made if it stays."""
+        """Defer ``call`` during a handover; it is made if the handover fails."""
 
 
 class Admission:
-    """Takes durable jobs on."""
+    """Decides whether durable jobs are accepted."""
 
     def __init__(
         self,
-        jobs: Jobs,
+        jobs: JobManager,
         loop: Loop,
         tracker: RequestTracker,
         limits: Limits,
         register: Register,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
-        self.shed_for: dict[str, int] = dict.fromkeys((why.name.lower() for why in Shed), 0)
+        self.shed_by_reason: dict[str, int] = dict.fromkeys((reason.name.lower() for reason in Shed), 0)
         self._jobs = jobs
         self._loop = loop
         self._tracker = tracker
         self._limits = limits
         self._register = register
         self._terms_of = terms_of
-        self._accepting: list[tuple[timedelta, int, Held]] = []  # a heap: until when, number, job
-        self._accept_timer: Timer | None = None
+        self._unwritten: list[tuple[timedelta, int, Held]] = []  # a heap: timeout, number, job
+        self._unwritten_timer: Timer | None = None
 
     def take(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter, arrived: timedelta) -> None:
-        """A whole request that came at ``arrived``; ``waiter`` hears what becomes of it."""
+        """Submit a request received at ``arrived``; ``waiter`` is notified of the outcome."""
         digest = request_digest(job.subject, job.body)
-        named = key_digest(terms.tenant_name, terms.class_name, key) if key is not None else None
-        other = self._register.by_key.get(named) if named is not None else None
+        hashed_key = key_digest(terms.tenant_name, terms.class_name, key) if key is not None else None
+        other = self._register.by_key.get(hashed_key) if hashed_key is not None else None
         if other is not None and not (other.ending and other.ending.state is JobState.REFUSED):
             self._join(other, digest, waiter)
             return
         writer = self._jobs.writer
-        why = (
+        reason = (
             Shed.FAILING
             if writer is None or self._jobs.leaving
-            else self._limits.refusal(
+            else self._limits.shed_reason(
                 terms.tenant_name,
                 len(job.body),
                 writer.backlog,
@@ -80,16 +80,16 @@
                 bool(writer.failing),
             )
         )
-        if why is not None or writer is None:
-            self._shed(waiter, why or Shed.FAILING)
+        if reason is not None or writer is None:
+            self._shed(waiter, reason or Shed.FAILING)
             return
-        hint = None if terms.hint is None else min(terms.hint, LONGEST_HINT) // MICROSECOND
+        hint = None if terms.hint is None else min(terms.hint, MAX_HINT) // MICROSECOND
         accepted = Accepted(
-            self._jobs.next(),
+            self._jobs.next_number(),
             job.id,
             terms.tenant_name,
             terms.class_name,
-            named,
+            hashed_key,
             digest,
             job.subject,
             job.body,
@@ -98,79 +98,79 @@
             arrived // MICROSECOND,
             (arrived + terms.patience) // MICROSECOND,
         )
-        held = Held(self._jobs, accepted)
-        held.add(waiter)
-        self._register.enter(held)
+        durable_job = Held(self._jobs, accepted)
+        durable_job.add(waiter)
+        self._register.add(durable_job)
         now = self._loop.now
-        until = now + min(ACCEPTED_WITHIN, ACCEPTED_SHARE * (arrived + terms.patience - now))
-        heappush(self._accepting, (until, accepted.number, held))
-        if self._accept_timer is None or self._accepting[0][2] is held:
-            if self._accept_timer is not None:
-                self._accept_timer.cancel()
-            self._accept_timer = self._loop.call_at(until, self._check_accepted)
-        writer.write(accepted, partial(self._on_disk, held))
-
-    def _on_disk(self, held: Held, found: Found | None) -> None:
-        accepted, held.on_disk = held.accepted, True
-        if found is not None:  # its key is another's
-            self._register.drop(held)
-            for waiter in held.waiters:
-                self._found(found, accepted.digest, waiter)
+        timeout_at = now + min(ACCEPT_TIMEOUT, MAX_ACCEPT_TIME_SHARE * (arrived + terms.patience - now))
+        heappush(self._unwritten, (timeout_at, accepted.number, durable_job))
+        if self._unwritten_timer is None or self._unwritten[0][2] is durable_job:
+            if self._unwritten_timer is not None:
+                self._unwritten_timer.cancel()
+            self._unwritten_timer = self._loop.call_at(timeout_at, self._shed_overdue)
+        writer.write(accepted, partial(self._on_disk, durable_job))
+
+    def _on_disk(self, durable_job: Held, found: Found | None) -> None:
+        accepted, durable_job.on_disk = durable_job.accepted, True
+        if found is not None:  # another job has its key
+            self._register.remove(durable_job)
+            for waiter in durable_job.waiters:
+                self._answer_found(found, accepted.digest, waiter)
             return
-        if held.ending is not None:  # shed meanwhile
+        if durable_job.ending is not None:  # shed in the meantime
             return
         if self._jobs.leaving:
-            self._jobs.postpone(partial(self._on_disk, held, None))
+            self._jobs.postpone(partial(self._on_disk, durable_job, None))
             return
         terms = self._terms_of(accepted, accepted.give_up * MICROSECOND - self._loop.now)
         if terms is None:
-            held.reject()
+            durable_job.reject()
             return
-        held.tracked = self._tracker.take(held.job(), terms, held, held)
-        for waiter in list(held.waiters):
+        durable_job.tracked = self._tracker.take(durable_job.job(), terms, durable_job, durable_job)
+        for waiter in list(durable_job.waiters):
             waiter.accepted(accepted.number)
 
-    def _check_accepted(self) -> None:
-        """One timer for all that wait for the disk: there are many, and nearly all are on disk by then."""
-        self._accept_timer = None
-        while self._accepting and self._accepting[0][0] <= self._loop.now:
-            held = heappop(self._accepting)[2]
-            if not held.on_disk and held.ending is None:
-                self._not_accepted(held)
-        if self._accepting:
-            self._accept_timer = self._loop.call_at(self._accepting[0][0], self._check_accepted)
-
-    def _not_accepted(self, held: Held) -> None:
-        """The disk has not taken it in time.  Should it get there yet, it must not be run."""
-        held.accepted.cancelled = True
-        waiters, held.waiters = held.waiters, []
+    def _shed_overdue(self) -> None:
+        """Shed jobs that are not on disk in time.  One timer serves all: nearly all are on disk by then."""
+        self._unwritten_timer = None
+        while self._unwritten and self._unwritten[0][0] <= self._loop.now:
+            durable_job = heappop(self._unwritten)[2]
+            if not durable_job.on_disk and durable_job.ending is None:
+                self._shed_unwritten(durable_job)
+        if self._unwritten:
+            self._unwritten_timer = self._loop.call_at(self._unwritten[0][0], self._shed_overdue)
+
+    def _shed_unwritten(self, durable_job: Held) -> None:
+        """Shed a job that is not on disk in time, and mark it so that it is not run if written later."""
+        durable_job.accepted.cancelled = True
+        waiters, durable_job.waiters = durable_job.waiters, []
         for waiter in waiters:
             self._shed(waiter, Shed.BACKLOG)
-        self._jobs.end(held, Ending(JobState.REFUSED))
+        self._jobs.end(durable_job, Ending(JobState.REFUSED))
 
-    def _shed(self, waiter: Waiter, why: Shed) -> None:
-        self.shed_for[why.name.lower()] += 1
-        waiter.shed(why, STAY_AWAY)
+    def _shed(self, waiter: Waiter, reason: Shed) -> None:
+        self.shed_by_reason[reason.name.lower()] += 1
+        waiter.shed(reason, RETRY_AFTER)
 
-    def _join(self, held: Held, digest: bytes, waiter: Waiter) -> None:
-        if held.accepted.digest != digest:
+    def _join(self, durable_job: Held, digest: bytes, waiter: Waiter) -> None:
+        if durable_job.accepted.digest != digest:
             waiter.mismatch()
-        elif held.told and held.ending is not None:
-            waiter.ended(held.ending)
+        elif durable_job.told and durable_job.ending is not None:
+            waiter.ended(durable_job.ending)
         else:
-            held.add(waiter)
-            if held.on_disk:
-                waiter.accepted(held.accepted.number)
+            durable_job.add(waiter)
+            if durable_job.on_disk:
+                waiter.accepted(durable_job.accepted.number)
 
-    def _found(self, found: Found, digest: bytes, waiter: Waiter) -> None:
-        """The job with that key was here before, and has ended."""
+    def _answer_found(self, found: Found, digest: bytes, waiter: Waiter) -> None:
+        """Answer from the stored job that has the same key."""
         if found.digest != digest:
             waiter.mismatch()
         elif found.state is JobState.OPEN:
-            held = self._register.by_number.get(found.number)
-            if held is not None and held.ending is None:
-                self._join(held, digest, waiter)
-            else:  # it is being refused just now
+            durable_job = self._register.by_number.get(found.number)
+            if durable_job is not None and durable_job.ending is None:
+                self._join(durable_job, digest, waiter)
+            else:  # its refusal is being written
                 self._shed(waiter, Shed.BACKLOG)
         else:
             waiter.accepted(found.number)
--- a/carthinge/durable/attempt_leases.py
+++ b/carthinge/durable/attempt_leases.py
@@ -1,4 +1,4 @@
-"""Attempts of durable jobs at their workers: granted on disk before they are sent, held by leases."""
+"""Leases of the attempts of durable jobs; each grant is on disk before its attempt is sent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from carthinge import interface as io
-from carthinge.durable.records import AttemptState, Granted, HandedBack, Renewed, StoredAttempt
+from carthinge.durable.records import AttemptFailed, AttemptState, Granted, Renewed, StoredAttempt
 from carthinge.durable.writer import Writer
 from carthinge.leases import Leases
 from carthinge.net import log
@@ -18,11 +18,11 @@
 from carthinge.net.tracked_request import Attempt, Sent
 from carthinge.net.worker_directory import WorkerEndpoint
 
-_ENTRIES: Final[msgspec.msgpack.Decoder[io.WorkerEntry]] = msgspec.msgpack.Decoder(io.WorkerEntry)
+_ENTRY_DECODER: Final[msgspec.msgpack.Decoder[io.WorkerEntry]] = msgspec.msgpack.Decoder(io.WorkerEntry)
 
 
 class AttemptLeases:
-    """Who has which job, and until when."""
+    """Tracks which worker holds which job, and until when."""
 
     def __init__(
         self,
@@ -32,25 +32,25 @@
         target_of: Callable[[str, Address], WorkerEndpoint],
         expired: Callable[[Attempt], None],
     ) -> None:
-        """``entry_of``: a worker as it is listed; ``target_of``: the same by its name, listed or not;
-        ``expired`` hears of an attempt whose lease is over."""
+        """``entry_of`` returns a worker's listed entry, ``target_of`` a worker by its name, listed or not;
+        ``expired`` is called for an attempt whose lease has expired."""
         self.leases: Leases[Attempt] = Leases(duration)
         self.expired = 0
         self._loop = loop
         self._entry_of = entry_of
         self._target_of = target_of
-        self._tell_expired = expired
+        self._on_expired = expired
         self._timer: Timer | None = None
-        self._encoded: dict[int, tuple[io.WorkerEntry, bytes]] = {}
+        self._encoded_entries: dict[int, tuple[io.WorkerEntry, bytes]] = {}
 
-    def grant(self, writer: Writer, job: int, attempt: Attempt, go: Callable[[object], None]) -> None:
-        """Writes down that it is about to be sent; ``go`` once it may be."""
+    def grant(self, writer: Writer, job: int, attempt: Attempt, send: Callable[[object], None]) -> None:
+        """Record that an attempt is about to be sent; ``send`` is called once that is on disk."""
         target = attempt.target
         entry = self._entry_of(target.number)
-        known, encoded = self._encoded.get(target.number, (None, b""))
-        if entry is not known:  # a worker's entry is another object once the list has said something of it
+        encoded_entry, encoded = self._encoded_entries.get(target.number, (None, b""))
+        if entry is not encoded_entry:  # the entry is replaced by a new object when the list changes it
             encoded = msgspec.msgpack.encode(entry)
-            self._encoded[target.number] = (entry, encoded)
+            self._encoded_entries[target.number] = (entry, encoded)
 
         writer.write(
             Granted(
@@ -63,29 +63,30 @@
                 attempt.sent // MICROSECOND,
                 attempt.due // MICROSECOND,
             ),
-            go,
+            send,
         )
 
     def renew(self, writer: Writer | None, attempt: Attempt, begun: bool) -> None:
-        """Its worker has given a sign.  The first one is written down at once, since it says that the worker
-        takes part; later ones with whatever comes next: the lease is renewed at a start in any case."""
-        first = not self.leases.held(attempt.token)
-        until = self._hold(attempt)
+        """Renew a lease after a callback.  The first renewal is written at once, since it shows that the
+        worker takes part; later ones may wait for the next record, since a restart renews it anyway."""
+        is_first = not self.leases.held(attempt.token)
+        until = self._extend(attempt)
         if writer is not None:
-            at = self._loop.now // MICROSECOND if begun else 0
-            writer.write(Renewed(attempt.token, until // MICROSECOND, at), soon=first)
+            begun_us = self._loop.now // MICROSECOND if begun else 0
+            writer.write(Renewed(attempt.token, until // MICROSECOND, begun_us), wake=is_first)
 
     def end(self, writer: Writer | None, attempt: Attempt, result: io.Result) -> None:
-        """The attempt is over."""
+        """End the lease of an attempt that is over."""
         self.leases.end(attempt.token)
         if result is not io.Result.OK and attempt.token and writer is not None:
             state = AttemptState.NEVER_RAN if result in io.NEVER_RAN else AttemptState.MAY_HAVE_RUN
-            writer.write(HandedBack(attempt.token, state), soon=False)
+            writer.write(AttemptFailed(attempt.token, state), wake=False)
 
-    def read_back(self, stored: StoredAttempt) -> Sent:
-        """An attempt from before a crash, as the tracker and the module are told of it.
+    def convert(self, stored: StoredAttempt) -> Sent:
+        """Convert a stored attempt for the tracker and the decision module.
 
-        Granted and perhaps never sent: that cannot be told apart from running, and counts as that.
+        An attempt that was granted but perhaps never sent cannot be told from a running one; it counts as
+        running.
         """
         target = self._target_of(stored.worker, Address.parse(stored.address))
         return Sent(
@@ -95,7 +96,7 @@
             stored.token,
             io.AttemptMemory(
                 worker=target.number,
-                entry=_ENTRIES.decode(stored.entry),
+                entry=_ENTRY_DECODER.decode(stored.entry),
                 sent=stored.sent,
                 expected=0.0,
                 begun=stored.begun,
@@ -106,18 +107,18 @@
         )
 
     def resume(self, attempt: Attempt) -> None:
-        """An attempt from before a crash is out still, and its worker held a lease.  It does for one duration
-        more: no sign of its worker can have got here meanwhile."""
-        self._hold(attempt)
+        """Renew the lease of an attempt that was open before a restart for one duration: no callback of its
+        worker could arrive while the scheduler was down."""
+        self._extend(attempt)
 
     def clear(self) -> None:
-        """Another process has all of them now."""
+        """Drop all leases: another process has them now."""
         self.leases = Leases(self.leases.duration)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _hold(self, attempt: Attempt) -> timedelta:
+    def _extend(self, attempt: Attempt) -> timedelta:
         until = self.leases.hold(attempt.token, attempt, self._loop.clock.now())
         if self._timer is None:
             self._timer = self._loop.call_at(until, self._expire)
@@ -128,7 +129,7 @@
         for attempt in self.leases.expire(self._loop.now):
             self.expired += 1
             log.logger().info("lease_expired", worker=attempt.target.id, id=attempt.tracked.job.id)
-            self._tell_expired(attempt)
+            self._on_expired(attempt)
         due = self.leases.due()
         if due is not None:
             self._timer = self._loop.call_at(due, self._expire)
--- a/carthinge/durable/check.py
+++ b/carthinge/durable/check.py
@@ -1,4 +1,4 @@
-"""Looks at a store from outside, beside its owner or without one."""
+"""Inspection and compaction of a store from outside the scheduler."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from carthinge.durable.files import Files
 from carthinge.durable.records import JobState
 from carthinge.durable.rows import body_crc, result_crc
-from carthinge.durable.schema import APPLICATION, FORMAT, PAGE
-from carthinge.durable.store import DATABASE, take
+from carthinge.durable.schema import APPLICATION_ID, FORMAT, PAGE_BYTES
+from carthinge.durable.store import DATABASE_FILE, acquire_lock
 
-AT_ONCE: Final = 200  # rows read between two steps of the progress
+FETCH_ROWS: Final = 200  # fetched at a time
 
 
 @contextmanager
-def reader(folder: Path) -> Iterator[sqlite3.Connection]:
-    """A connection that reads and never writes; StoreError where there is no store."""
-    path = folder / DATABASE
+def open_read_only(folder: Path) -> Iterator[sqlite3.Connection]:
+    """Open a read-only connection; StoreError if there is no store."""
+    path = folder / DATABASE_FILE
     if not path.is_file():
         raise StoreError(f"{path}: no such file")
     uri = f"file:{quote(str(path.absolute()))}?mode=ro"
     with closing(sqlite3.connect(uri, uri=True, isolation_level=None)) as database:
-        if database.execute("PRAGMA application_id").fetchone()[0] != APPLICATION:
+        if database.execute("PRAGMA application_id").fetchone()[0] != APPLICATION_ID:
             raise StoreError(f"{path}: not a store of carthinge")
         found = database.execute("PRAGMA user_version").fetchone()[0]
         if found != FORMAT:
@@ -37,42 +37,42 @@
         yield database
 
 
-def faults_of(database: sqlite3.Connection, folder: Path, step: Callable[[], None]) -> Iterator[str]:
-    """All that is wrong; ``step`` is called for each job that has been read."""
+def find_faults(database: sqlite3.Connection, folder: Path, step: Callable[[], None]) -> Iterator[str]:
+    """Yield all faults of a store; ``step`` is called for each job that is read."""
     for (line,) in database.execute("PRAGMA integrity_check"):
         if line != "ok":
             yield f"database: {line}"
     rows = database.execute("SELECT number, subject, body, state, result, crc FROM jobs")
-    while part := rows.fetchmany(AT_ONCE):
-        for number, subject, body, state, result, crc in part:
+    while rows_read := rows.fetchmany(FETCH_ROWS):
+        for number, subject, body, state, result, crc in rows_read:
             step()
-            what, right = (
+            part, expected_crc = (
                 ("body", body_crc(number, subject, body))
                 if state == JobState.OPEN
                 else ("result", result_crc(number, state, result or b""))
             )
-            if crc != right:
-                yield f"job {number:x}: its {what} is damaged"
+            if crc != expected_crc:
+                yield f"job {number:x}: its {part} is damaged"
     for token, job in database.execute(
         "SELECT token, job FROM attempts WHERE job NOT IN " "(SELECT number FROM jobs)"
     ):
-        yield f"attempt {token:x}: its job {job:x} is not there"
-    log = folder / f"{DATABASE}-wal"
+        yield f"attempt {token:x}: its job {job:x} does not exist"
+    log = folder / f"{DATABASE_FILE}-wal"
     if log.is_file() and wal.examine(log.read_bytes()).damaged and not _in_use(folder):
-        yield f"{log.name}: damaged in the middle: what was committed after that cannot be read"
+        yield f"{log.name}: damaged in the middle: the commits after that cannot be read"
 
 
-def overview(database: sqlite3.Connection, most: int) -> dict[str, Any]:
-    """What a store holds, for people."""
+def overview(database: sqlite3.Connection, max_open: int) -> dict[str, Any]:
+    """Summarize the content of a store."""
 
-    def one(text: str) -> Any:
+    def fetch_value(text: str) -> Any:
         return database.execute(text).fetchone()[0]
 
-    free = one("PRAGMA freelist_count") * PAGE
+    free = fetch_value("PRAGMA freelist_count") * PAGE_BYTES
     return {
-        "format": one("PRAGMA user_version"),
-        "epoch": one("SELECT value FROM meta WHERE name = 'epoch'"),
-        "bytes_used": one("PRAGMA page_count") * PAGE - free,
+        "format": fetch_value("PRAGMA user_version"),
+        "epoch": fetch_value("SELECT value FROM meta WHERE name = 'epoch'"),
+        "bytes_used": fetch_value("PRAGMA page_count") * PAGE_BYTES - free,
         "bytes_free": free,
         "jobs": [
             {"class": name, "tenant": tenant, "state": JobState(state).name.lower(), "jobs": count}
@@ -93,37 +93,37 @@
                 "SELECT number, req_id, class, tenant, (SELECT count(*) FROM attempts WHERE job = "
                 "jobs.number), (SELECT worker FROM attempts WHERE job = jobs.number AND state = 0) "
                 "FROM jobs WHERE state = 0 ORDER BY number LIMIT ?",
-                (most,),
+                (max_open,),
             )
         ],
     }
 
 
 def compact(folder: Path) -> tuple[int, int]:
-    """Writes the store anew; the bytes on disk before and after.  StoreError where somebody has it."""
-    with reader(folder):  # it is one
+    """Rewrite a store without free pages; return the bytes before and after.  StoreError if it is in use."""
+    with open_read_only(folder):  # checks that it is a store
         pass
-    lock = take(folder, Files())
+    lock = acquire_lock(folder, Files())
     try:
-        with closing(sqlite3.connect(folder / DATABASE, isolation_level=None)) as database:
-            before = _bytes(folder)
+        with closing(sqlite3.connect(folder / DATABASE_FILE, isolation_level=None)) as database:
+            before = _files_bytes(folder)
             database.execute("VACUUM")
             database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-            return before, _bytes(folder)
+            return before, _files_bytes(folder)
     except sqlite3.Error as fault:
-        raise StoreError(f"{folder / DATABASE}: {fault}") from None
+        raise StoreError(f"{folder / DATABASE_FILE}: {fault}") from None
     finally:
         os.close(lock)
 
 
-def _bytes(folder: Path) -> int:
-    return sum(path.stat().st_size for path in folder.glob(f"{DATABASE}*"))
+def _files_bytes(folder: Path) -> int:
+    return sum(path.stat().st_size for path in folder.glob(f"{DATABASE_FILE}*"))
 
 
 def _in_use(folder: Path) -> bool:
-    """Somebody writes to the log while it is read: what it looks like then tells nothing."""
+    """Whether a process uses the store: a log that is read while it is written may look damaged."""
     try:
-        os.close(take(folder, Files()))
+        os.close(acquire_lock(folder, Files()))
     except StoreError:
         return True
     return False
--- a/carthinge/durable/database.py
+++ b/carthinge/durable/database.py
@@ -1,4 +1,4 @@
-"""SQLite as the store uses it: statements that stay prepared, and rows by the hundred."""
+"""SQLite helpers of the store: statements that stay prepared and write up to 256 rows each."""
 
 from __future__ import annotations
 
@@ -7,42 +7,44 @@
 from functools import lru_cache
 from typing import Any, Final
 
-CHUNKS: Final = (1, 2, 4, 8, 16, 32, 64, 128, 256)  # rows of one statement: few texts, all kept prepared
-LOCKED_FOR: Final = 0.2  # seconds to wait for another writer: there is to be none
+STATEMENT_ROWS: Final = (1, 2, 4, 8, 16, 32, 64, 128, 256)  # few sizes, so that all statements stay prepared
+BUSY_TIMEOUT_S: Final = 0.2  # the store has one writer; another one is an error
 Connect = Callable[[str], sqlite3.Connection]
 
 
 def connect(path: str) -> sqlite3.Connection:
-    """An ordinary connection; transactions are begun and ended by hand."""
+    """Open a connection in autocommit mode; transactions are explicit."""
     return sqlite3.connect(
-        path, timeout=LOCKED_FOR, isolation_level=None, check_same_thread=False, cached_statements=128
+        path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False, cached_statements=128
     )
 
 
 class Database:
-    """A connection to SQLite, while there is one."""
+    """An SQLite connection that may be closed."""
 
     def __init__(self) -> None:
         self._database: sqlite3.Connection | None = None
 
-    def _run(self, text: str, values: Sequence[Any] = ()) -> None:
+    def _execute(self, text: str, values: Sequence[Any] = ()) -> None:
         assert self._database is not None, "the store is not open"
         self._database.execute(text, values)
 
-    def _all(self, text: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+    def _fetch_all(self, text: str, values: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
         assert self._database is not None, "the store is not open"
         return self._database.execute(text, values).fetchall()
 
-    def _one(self, text: str) -> Any:
-        return self._all(text)[0][0]
+    def _fetch_value(self, text: str) -> Any:
+        return self._fetch_all(text)[0][0]
 
-    def _rows(self, before: str, row: str, after: str, rows: list[tuple[Any, ...]]) -> None:
-        """One statement for up to 256 rows, filled up by the last one: what it does may be done again."""
-        for start in range(0, len(rows), CHUNKS[-1]):
-            part = rows[start : start + CHUNKS[-1]]
-            size = next(size for size in CHUNKS if size >= len(part))
-            part += part[-1:] * (size - len(part))
-            self._run(_text(before, row, size, after), [value for values in part for value in values])
+    def _execute_rows(self, before: str, row: str, after: str, rows: list[tuple[Any, ...]]) -> None:
+        """Execute one statement per 256 rows, padded by repeating the last row: it must be idempotent."""
+        for start in range(0, len(rows), STATEMENT_ROWS[-1]):
+            chunk = rows[start : start + STATEMENT_ROWS[-1]]
+            size = next(size for size in STATEMENT_ROWS if size >= len(chunk))
+            chunk += chunk[-1:] * (size - len(chunk))
+            self._execute(
+                _statement(before, row, size, after), [value for values in chunk for value in values]
+            )
 
     def _roll_back(self) -> None:
         if self._database is not None and self._database.in_transaction:
@@ -50,6 +52,6 @@
 
 
 @lru_cache(maxsize=128)
-def _text(before: str, row: str, size: int, after: str) -> str:
-    """The same object each time: SQLite's cache of statements goes by it."""
+def _statement(before: str, row: str, size: int, after: str) -> str:
+    """Return the statement, cached so that SQLite's statement cache is hit."""
     return before + ",".join([row] * size) + after
--- a/carthinge/durable/errors.py
+++ b/carthinge/durable/errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a store; apart, so that it can be named without loading one."""
+"""Errors of the store; in a module of their own, which does not import the store."""
 
 
 class StoreError(Exception):
--- a/carthinge/durable/files.py
+++ b/carthinge/durable/files.py
@@ -1,8 +1,7 @@
-"""The file calls that the store makes beside SQLite, in one place.
+"""The file system calls that the store makes outside SQLite.
 
-Production and tests use the same calls: a test hands the store another :class:`Files`, whose calls fail in
-the ways that Linux documents (ENOSPC, EIO).  What SQLite does itself fails by the connection that it is
-handed.
+Tests pass the store a subclass of :class:`Files` whose calls fail in the ways that Linux documents (ENOSPC,
+EIO).  Faults of SQLite itself are injected by the connection passed to the store.
 """
 
 from __future__ import annotations
@@ -14,34 +13,34 @@
 
 
 class Files:
-    """Each method is one system call, or the few that belong together; they raise OSError."""
+    """Each method is one system call or a few related ones, and raises OSError."""
 
     def make_folder(self, folder: Path) -> None:
-        """Make a folder and those above it, unless it is there."""
+        """Create a folder and its parents if they do not exist."""
         folder.mkdir(parents=True, exist_ok=True)
 
     def open_lock(self, path: Path) -> int:
-        """Return a descriptor of the file that whoever owns a folder holds locked."""
+        """Open the lock file of a store's folder and return its descriptor."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
     def lock(self, descriptor: int) -> None:
-        """Take the lock; BlockingIOError where another process has it."""
+        """Take the lock; BlockingIOError if another process holds it."""
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def owner(self, descriptor: int) -> str:
-        """Return who has the lock, by its own word."""
+        """Return the owner that the lock file names."""
         return os.pread(descriptor, 32, 0).decode("ascii", "replace").strip()
 
     def note_owner(self, descriptor: int, owner: str) -> None:
-        """Write down who has the lock."""
+        """Write the owner into the lock file."""
         os.ftruncate(descriptor, 0)
         os.pwrite(descriptor, f"{owner}\n".encode(), 0)
 
     def close(self, descriptor: int) -> None:
-        """Let go of a lock; the descriptor is free afterwards, whatever the call says."""
+        """Release a lock; errors are ignored, since Linux frees the descriptor even then."""
         with contextlib.suppress(OSError):
             os.close(descriptor)
 
     def read(self, path: Path) -> bytes | None:
-        """Return what is in a file, None where there is none."""
+        """Return the content of a file, None if it does not exist."""
         return path.read_bytes() if path.is_file() else None
--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -1,8 +1,8 @@
-"""The store passes from one process of a scheduler to the next, and back where that one ends.
+"""Handover of the store to the successor process, and its return if that process ends.
 
-The next one recovers open jobs from the store as after a crash, so that there is one way in which jobs change
-hands.  What makes it more than a crash: nothing is under way when the store changes hands, all is written
-down, and the clients who wait follow with their connections (scheduler/upgrade.py).
+The successor recovers open jobs from the store as after a crash, so there is only one recovery path.  Unlike
+after a crash, no attempt is being sent at that moment, all records are written, and waiting clients follow
+with their connections (scheduler/upgrade.py).
 """
 
 from __future__ import annotations
@@ -16,79 +16,81 @@
 from carthinge.durable.writer import Writer
 from carthinge.net.tracked_request import Attempt
 
-CALM_WITHIN: Final = timedelta(milliseconds=500)  # of asking; what is under way then counts as perhaps sent
-WRITTEN_WITHIN: Final = timedelta(seconds=1.2)  # after that: whoever asked waits for 2 s in all
-CALM_CHECKED: Final = timedelta(milliseconds=10)
-TAKEN_BACK_WITHIN: Final = timedelta(seconds=5)  # one that is being killed has the store a moment longer
+SEND_TIMEOUT: Final = timedelta(
+    milliseconds=500
+)  # for attempts being sent; after it they count as perhaps sent
+WRITE_TIMEOUT: Final = timedelta(seconds=1.2)  # after that; the other process waits for 2 s in all
+POLL_INTERVAL: Final = timedelta(milliseconds=10)
+REOPEN_TIMEOUT: Final = timedelta(seconds=5)  # a process that is being killed holds the store a moment longer
 
 
 class HandOver:
-    """Lets go of the store, a little at a time: the loop is never held, however sick the disk is."""
+    """Releases the store step by step, without blocking the loop, however slow the disk is."""
 
     def __init__(
         self, jobs: DurableJobs, busy: Callable[[Attempt], bool], done: Callable[[bool], None]
     ) -> None:
-        """``done`` hears whether another process may have the store now.
+        """``done`` is called with whether another process may open the store now.
 
-        ``busy``: an attempt is on its way to its worker, and gets a moment to arrive there.
+        ``busy`` returns whether an attempt is being sent to its worker, which is given time to finish.
         """
         self._jobs = jobs
         self._busy = busy
         self._done = done
-        self._until = jobs.loop.clock.now() + CALM_WITHIN
+        self._timeout_at = jobs.loop.clock.now() + SEND_TIMEOUT
         jobs.leaving = True
-        self._wait_for_calm()
+        self._wait_for_sends()
 
-    def _wait_for_calm(self) -> None:
-        """Until all is read back, and nothing is on its way to a worker."""
+    def _wait_for_sends(self) -> None:
+        """Wait until all jobs are loaded and no attempt is being sent."""
         jobs = self._jobs
         writer = jobs.writer
         if writer is None or writer.failing or not jobs.leaving:
             self._done(False)
-        elif not jobs.loaded or (jobs.under_way(self._busy) and jobs.loop.clock.now() < self._until):
-            jobs.loop.call_after(CALM_CHECKED, self._wait_for_calm)
+        elif not jobs.loaded or (jobs.is_sending(self._busy) and jobs.loop.clock.now() < self._timeout_at):
+            jobs.loop.call_after(POLL_INTERVAL, self._wait_for_sends)
         else:
-            self._until = jobs.loop.clock.now() + WRITTEN_WITHIN
+            self._timeout_at = jobs.loop.clock.now() + WRITE_TIMEOUT
             writer.request_stop()
             self._wait_for_writer(writer)
 
     def _wait_for_writer(self, writer: Writer) -> None:
-        """Until all is on disk."""
+        """Wait until all records are on disk."""
         jobs = self._jobs
         if writer.stopped and not writer.unwritten and jobs.leaving:
             jobs.close()
-            jobs.forget_all()
+            jobs.release_all()
             self._done(True)
-        elif not jobs.leaving or writer.failing or jobs.loop.clock.now() >= self._until:
+        elif not jobs.leaving or writer.failing or jobs.loop.clock.now() >= self._timeout_at:
             writer.resume()
             self._done(False)
         else:
-            if writer.stopped:  # something came as its thread ended: it is written first
+            if writer.stopped:  # a record was queued as the thread exited: write it first
                 writer.resume()
                 writer.request_stop()
-            jobs.loop.call_after(CALM_CHECKED, lambda: self._wait_for_writer(writer))
+            jobs.loop.call_after(POLL_INTERVAL, lambda: self._wait_for_writer(writer))
 
 
 def take_back(jobs: DurableJobs, opened: Callable[[], None]) -> None:
-    """The other process has ended: goes on from the store, as that has left it; ``opened`` once that is had.
+    """Reopen the store after the other process has ended, and call ``opened``.
 
-    StoreError, from the loop, where it cannot be had.
+    Raises StoreError, from the loop, if it cannot be opened.
     """
     clock = jobs.loop.clock
-    if jobs.writer is not None:  # it was never let go of
-        jobs.stay()
+    if jobs.writer is not None:  # it was never released
+        jobs.cancel_handover()
         opened()
         return
-    until = clock.now() + TAKEN_BACK_WITHIN
+    timeout_at = clock.now() + REOPEN_TIMEOUT
 
-    def try_to() -> None:
+    def try_open() -> None:
         try:
             jobs.open()
         except StoreError:
-            if clock.now() >= until:
+            if clock.now() >= timeout_at:
                 raise
-            jobs.loop.call_after(CALM_CHECKED, try_to)
+            jobs.loop.call_after(POLL_INTERVAL, try_open)
         else:
             opened()
 
-    try_to()
+    try_open()
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -1,4 +1,4 @@
-"""One durable job while it is open: what the tracker talks to, and who waits for its end."""
+"""An open durable job: the client and keeper of its tracked request, with the waiters for its end."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """How a job has ended, for whoever asks."""
+    """The end of a job, as reported to its waiters."""
 
     state: JobState
     result: bytes = b""
@@ -24,62 +24,65 @@
 
 
 class Waiter(Protocol):
-    """Somebody who wants to hear of a job; gets one of ``ended``, ``shed`` and ``mismatch`` at the most."""
+    """Is notified about a job; at most one of ``ended``, ``shed`` and ``mismatch`` is called."""
 
-    held: Held | None  #: the job that it is a waiter of; kept here
+    held: Held | None  #: the job that it waits for; set by the job
 
     def accepted(self, number: int) -> None:
-        """It is taken on, by this number."""
+        """The job is accepted under this number."""
 
     def ended(self, ending: Ending) -> None:
-        """Its one end."""
+        """The job has ended."""
 
     def shed(self, why: Shed, stay_away: timedelta) -> None:
-        """It is not taken on."""
+        """The job is not accepted."""
 
     def moved(self, number: int) -> None:
-        """Another process of this scheduler goes on with it, or this one from the store."""
+        """The job continues from the store, in another process of this scheduler or in this one."""
 
     def mismatch(self) -> None:
-        """Its key belongs to another request."""
+        """The key belongs to a different request."""
 
 
-class HeldBy(Protocol):
-    """Who carries out what the tracker says of a job."""
+class JobRecorder(Protocol):
+    """Records what the tracker reports about a job."""
 
-    def end(self, held: Held, ending: Ending) -> None:
+    def end(self, durable_job: Held, ending: Ending) -> None:
         """Record the final end of a job."""
 
-    def grant(self, held: Held, attempt: Attempt, go: Callable[[], None]) -> None:
-        """Record that an attempt is about to be sent; call ``go`` once it may be."""
+    def grant(self, durable_job: Held, attempt: Attempt, send: Callable[[], None]) -> None:
+        """Record that an attempt is about to be sent; call ``send`` once that is on disk."""
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
-        """Extend an attempt's lease after a sign of its worker."""
+        """Extend an attempt's lease after a callback of its worker."""
 
-    def attempt_ended(self, held: Held, attempt: Attempt, result: io.Result) -> None:
+    def attempt_ended(self, durable_job: Held, attempt: Attempt, result: io.Result) -> None:
         """Record the end of an attempt."""
 
 
 @dataclass(slots=True, eq=False)
 class Held:
-    """One durable job that is open here, or whose end is not on disk yet.  A client and keeper."""
+    """A durable job that is open here, or whose end is not on disk yet.
 
-    jobs: HeldBy
+    Implements the tracker's client and keeper protocols.
+    """
+
+    jobs: JobRecorder
     accepted: Accepted
     waiters: list[Waiter] = field(default_factory=list)
-    tracked: TrackedRequest | None = None  #: none while it waits for the disk, or to enter
+    tracked: TrackedRequest | None = None  #: None until it is on disk and, if recovered, readmitted
     on_disk: bool = False
     ending: Ending | None = None
-    told: bool = False  #: its waiters know the ending
+    told: bool = False  #: whether its waiters were notified of the ending
     last_token: int = 0
-    winner: int = 0  #: the token whose result it is
-    calls: list[Callable[[int], None]] = field(default_factory=list)  #: call-backs to be answered at its end
-    restored: list[StoredAttempt] = field(default_factory=list)
+    result_token: int = 0  #: of the attempt that provided the result, 0 for none
+    callbacks: list[Callable[[int], None]] = field(default_factory=list)  #: to be answered at its end
+    stored_attempts: list[StoredAttempt] = field(default_factory=list)
 
     # ---- the tracker's client ----------------------------------------------------------------
 
     def has_left(self) -> bool:
-        """Never: a durable job goes on without its clients."""
+        """Return False: a durable job continues without its clients."""
         return False
 
     def serve(self, result: bytes) -> None:
@@ -95,14 +98,14 @@
         self.jobs.end(self, Ending(JobState.FAILED, timed_out=timed_out))
 
     def reject(self) -> None:
-        """End the job as one that no worker can use."""
+        """End the job as failed, since no worker can use the request."""
         self.jobs.end(self, Ending(JobState.FAILED, b"no worker can use this request\n"))
 
     # ---- the tracker's keeper ----------------------------------------------------------------
 
-    def grant(self, attempt: Attempt, go: Callable[[], None]) -> None:
+    def grant(self, attempt: Attempt, send: Callable[[], None]) -> None:
         """Record that an attempt is about to be sent."""
-        self.jobs.grant(self, attempt, go)
+        self.jobs.grant(self, attempt, send)
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
         """Extend an attempt's lease."""
@@ -112,18 +115,18 @@
         """Record the end of an attempt."""
         self.jobs.attempt_ended(self, attempt, result)
 
-    # ---- what is known of it --------------------------------------------------------------
+    # ---- state ----------------------------------------------------------------------------
 
-    def out(self) -> bool:
-        """Somebody has the job now."""
+    def has_open_attempt(self) -> bool:
+        """Whether an attempt of the job is open."""
         return self.tracked is not None and self.tracked.current() is not None
 
     def add(self, waiter: Waiter) -> None:
-        """``waiter`` hears of its end."""
+        """Add a waiter, which is notified of the job's end."""
         self.waiters.append(waiter)
         waiter.held = self
 
     def job(self) -> Job:
-        """What its client wants, for the tracker."""
+        """Return the client's request for the tracker."""
         accepted = self.accepted
         return Job(accepted.req_id, accepted.subject, accepted.body, accepted.headers)
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -1,8 +1,8 @@
-"""The durable jobs of a running scheduler: between the fronts, the tracker and the store.
+"""The durable jobs of a running scheduler; connects the front end, the tracker and the store.
 
-A job is taken on once its record is on disk; only then does the tracker, and with it the decision module,
-hear of it.  An attempt is sent once its grant is on disk.  An end is told (to clients, and to the worker that
-called back) once it is on disk.  So whatever anybody outside has seen is there after a crash.
+Records are written ahead.  A job is accepted, and passed to the tracker and the decision module, once its
+record is on disk.  An attempt is sent once its grant is on disk.  An end is reported to clients, and to the
+worker whose callback brought it, once it is on disk.  So a crash loses nothing that was visible outside.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 from carthinge.net.worker_directory import WorkerEndpoint
 from carthinge.operator_file import Options
 
-EPOCH_BITS: Final = 31  # of a number that counts within one opening of the store
+SEQUENCE_BITS: Final = 31  # low bits of a number: a sequence number within one opening of the store
 
 
 class DurableJobs:
-    """All durable jobs of this scheduler, and the store they are in."""
+    """All durable jobs of this scheduler and their store."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         entry_of: Callable[[int], io.WorkerEntry],
         target_of: Callable[[str, Address], WorkerEndpoint],
     ) -> None:
-        """``terms_of``: a stored job's class and tenant by the settings of now, None where they are gone."""
+        """``terms_of``: a stored job's terms by the current settings, None if its class or tenant is gone."""
         durable = options.durable
         self.loop = loop
         self.classes = frozenset(durable.classes)
@@ -76,7 +76,7 @@
         self._options = durable
         self._boot = boot
         self._store = Store(Path(durable.folder), durable.max_store_bytes)
-        self.reading = ReadBack(
+        self.read_back = ReadBack(
             self,
             loop,
             tracker,
@@ -86,81 +86,81 @@
             self._store.path,
             terms_of,
         )
-        self._postponed: list[Callable[[], None]] = []  # what came up while the store was to leave
-        self._count = 0
-        self.leaving = False  #: another process is to have the store, or has it
+        self._postponed: list[Callable[[], None]] = []  # calls deferred during a handover of the store
+        self._sequence = 0
+        self.leaving = False  #: the store is being handed over, or belongs to another process
         self._stopped = False
 
     @property
     def loaded(self) -> bool:
-        """All open jobs are known."""
-        return self.reading.loaded
+        """Whether all open jobs have been read from the store."""
+        return self.read_back.loaded
 
     # ---- start and end --------------------------------------------------------------------
 
     def open(self) -> None:
-        """Takes the store; StoreError where that cannot be had.  Open jobs follow turn by turn."""
+        """Open the store, StoreError if that fails; open jobs are then loaded turn by turn."""
         self._store.open(self.time())
         self.leaving = self._stopped = False
-        self._count = 0
+        self._sequence = 0
         self.writer = Writer(self._store, self.time, lambda sock, call: self.loop.register(sock, READ, call))
-        self.reading.begin(self.writer)
+        self.read_back.begin(self.writer)
 
-    def close(self, patience: timedelta = timedelta(seconds=5)) -> bool:
-        """Writes down what has come up and lets go of the store; False where the disk would not take it."""
+    def close(self, timeout: timedelta = timedelta(seconds=5)) -> bool:
+        """Write pending records and release the store; return False if not all could be written."""
         writer, self.writer = self.writer, None
         if writer is None:
             return True
         self._stopped = True
-        self.reading.stop()
-        whole = writer.stop(patience)
+        self.read_back.stop()
+        all_written = writer.stop(timeout)
         writer.deliver()
         self.loop.forget(writer.wake_in)
         writer.close()
-        if writer.stopped:  # else its thread has the store still; that ends with the process
+        if writer.stopped:  # else the thread still uses the store, until the process ends
             self._store.close()
-        return whole
-
-    def forget_all(self) -> None:
-        """What is open goes on from the store, here or elsewhere; those who wait know its name."""
-        for held in list(self.register.by_number.values()):
-            for waiter in held.waiters:
-                waiter.moved(held.accepted.number)
-            if held.tracked is not None:
-                self._tracker.give_away(held.tracked)
-            self.register.drop(held)
-            self.reading.entrance.drop(held)
+        return all_written
+
+    def release_all(self) -> None:
+        """Drop all open jobs from memory; they continue from the store, in this process or another."""
+        for durable_job in list(self.register.by_number.values()):
+            for waiter in durable_job.waiters:
+                waiter.moved(durable_job.accepted.number)
+            if durable_job.tracked is not None:
+                self._tracker.give_away(durable_job.tracked)
+            self.register.remove(durable_job)
+            self.read_back.recovery_queue.remove(durable_job)
         self.attempt_leases.clear()
         self._postponed.clear()
 
-    def under_way(self, busy: Callable[[Attempt], bool]) -> bool:
-        """Something is on its way to a worker, or is about to be."""
+    def is_sending(self, busy: Callable[[Attempt], bool]) -> bool:
+        """Whether an attempt is being sent to a worker, or is about to be."""
         return any(
             (attempt.held_back and attempt.token) or busy(attempt)
-            for held in self.register.by_number.values()
-            if held.tracked is not None
-            for attempt in held.tracked.out()
+            for durable_job in self.register.by_number.values()
+            if durable_job.tracked is not None
+            for attempt in durable_job.tracked.out()
         )
 
     def known(self, req_id: str) -> bool:
-        """A durable job of that request is open here."""
+        """Whether a durable job with that request id is open here."""
         return req_id in self.register.by_req
 
     def figures(self) -> dict[str, object]:
-        """For the operators, as of now."""
+        """Return the current metrics."""
         writer = self.writer
         return {
             "open": self.limits.open,
             "open_bytes": self.limits.bytes,
-            "waiting_to_enter": len(self.reading.entrance),
+            "waiting_to_enter": len(self.read_back.recovery_queue),
             "leases": len(self.attempt_leases.leases),
             "leases_expired": self.attempt_leases.expired,
             "late_results": self.late_results,
             "stale_calls": self.stale_calls,
-            "recovered": self.reading.recovered,
+            "recovered": self.read_back.recovered,
             "loaded": self.loaded,
-            "damaged": len(self.reading.damaged),
-            "shed": self._admission.shed_for,
+            "damaged": len(self.read_back.damaged),
+            "shed": self._admission.shed_by_reason,
             "failing": bool(writer and writer.failing),
             "failures": writer.failures if writer else 0,
             "backlog": writer.backlog if writer else 0,
@@ -170,205 +170,217 @@
         }
 
     def time(self) -> Time:
-        """For the store; also called from its thread."""
+        """Return the time for the store; also called from its thread."""
         clock = self.loop.clock
         return Time(clock.now() // MICROSECOND, clock.wall() // MICROSECOND, self._boot)
 
     def name(self, number: int) -> str:
-        """What clients know the job of that number by."""
+        """Return the name by which clients refer to a job."""
         return job_name(number, self._store.secret)
 
-    def next(self) -> int:
-        """A number that no job and no attempt of this store ever had: openings are counted on disk."""
-        self._count += 1
-        assert self._count < 1 << EPOCH_BITS
-        return self._store.epoch << EPOCH_BITS | self._count
+    def next_number(self) -> int:
+        """Return a number unique in this store, across restarts: the epoch counts its openings on disk."""
+        self._sequence += 1
+        assert self._sequence < 1 << SEQUENCE_BITS
+        return self._store.epoch << SEQUENCE_BITS | self._sequence
 
-    # ---- taking jobs on -------------------------------------------------------------------
+    # ---- submission -----------------------------------------------------------------------
 
     def take(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter) -> None:
-        """A whole request for a durable job; ``waiter`` hears what becomes of it."""
-        if not self.loaded:  # whether its key is known cannot be told yet
+        """Submit a request for a durable job; ``waiter`` is notified of the outcome."""
+        if not self.loaded:  # its key may belong to a job that is not loaded yet
             arrived = self.loop.now
-            self.reading.defer(lambda: self._admission.take(job, terms, key, waiter, arrived))
+            self.read_back.defer(lambda: self._admission.take(job, terms, key, waiter, arrived))
         else:
             self._admission.take(job, terms, key, waiter, self.loop.now)
 
-    # ---- asking for jobs ------------------------------------------------------------------
+    # ---- lookup ---------------------------------------------------------------------------
 
     def ask(self, name: str, done: Callable[[Held | Found | int], None]) -> None:
-        """The job of that name, open or ended; else 404 where there never was one, 410 once it is forgotten,
-        and 503 where that cannot be told just now."""
+        """Look up a job by name, open or ended; ``done`` gets the job or a status: 404 for a name that was
+        never issued, 410 for a deleted job, 500 for a damaged one, 503 if the store cannot be read."""
         if not self.loaded:
-            self.reading.defer(lambda: self.ask(name, done))
+            self.read_back.defer(lambda: self.ask(name, done))
             return
         number = job_number(name, self._store.secret)
         if number is None:
             done(HTTPStatus.NOT_FOUND)
-        elif number in self.reading.damaged:
+        elif number in self.read_back.damaged:
             done(HTTPStatus.INTERNAL_SERVER_ERROR)
-        elif (held := self.register.by_number.get(number)) is not None and held.on_disk:
-            done(held)
+        elif (durable_job := self.register.by_number.get(number)) is not None and durable_job.on_disk:
+            done(durable_job)
         elif self.writer is None:
             done(HTTPStatus.SERVICE_UNAVAILABLE)
         else:
-            self.writer.ask(lambda store: store.find(number), lambda found: done(_asked(found)))
+            self.writer.read_store(
+                lambda store: store.find(number), lambda found: done(_lookup_result(found))
+            )
 
-    def wait(self, held: Held, waiter: Waiter) -> None:
-        """``waiter`` hears of its end."""
-        if held.told and held.ending is not None:
-            waiter.ended(held.ending)
+    def wait(self, durable_job: Held, waiter: Waiter) -> None:
+        """Notify ``waiter`` of the job's end."""
+        if durable_job.told and durable_job.ending is not None:
+            waiter.ended(durable_job.ending)
         else:
-            held.add(waiter)
+            durable_job.add(waiter)
 
     def leave(self, waiter: Waiter) -> None:
-        """Its client has gone, or waits no more.  The job goes on."""
+        """Remove a waiter whose client has left or was answered; the job continues."""
         if waiter.held is not None and waiter in waiter.held.waiters:
             waiter.held.waiters.remove(waiter)
         waiter.held = None
 
-    def give_up(self, held: Held, done: Callable[[], None]) -> bool:
-        """Its client does not want it any more; ``done`` once that is on disk.  False where it has ended."""
-        if held.ending is not None:
+    def give_up(self, durable_job: Held, done: Callable[[], None]) -> bool:
+        """Give up a job for its client; ``done`` is called once that is on disk.  False if it has ended."""
+        if durable_job.ending is not None:
             return False
-        held.calls.append(lambda _: done())
-        tracked = held.tracked
-        self.end(held, Ending(JobState.GIVEN_UP))
+        durable_job.callbacks.append(lambda _: done())
+        tracked = durable_job.tracked
+        self.end(durable_job, Ending(JobState.GIVEN_UP))
         if tracked is not None:
             self._tracker.abandon(tracked)
         return True
 
     def collected(self, number: int) -> None:
-        """A client has had the result: it need not be kept as long."""
+        """Shorten the retention of a result that a client has received."""
         if self.writer is not None:
-            until = self.loop.clock.now() + self._options.keep_collected
-            self.writer.write(Collected(number, until // MICROSECOND), soon=False)
+            forget_at = self.loop.clock.now() + self._options.keep_collected
+            self.writer.write(Collected(number, forget_at // MICROSECOND), wake=False)
 
-    # ---- the tracker's side ------------------------------------------------------------------
+    # ---- called by the tracker ---------------------------------------------------------------
 
-    def grant(self, held: Held, attempt: Attempt, go: Callable[[], None]) -> None:
-        """Record that an attempt is about to be sent; call ``go`` once that is on disk."""
+    def grant(self, durable_job: Held, attempt: Attempt, send: Callable[[], None]) -> None:
+        """Record that an attempt is about to be sent; call ``send`` once that is on disk."""
         if self.leaving:
-            self.postpone(lambda: self.grant(held, attempt, go) if attempt.open else None)
+            self.postpone(lambda: self.grant(durable_job, attempt, send) if attempt.open else None)
         elif self.writer is not None:
-            attempt.token = held.last_token = self.next()
+            attempt.token = durable_job.last_token = self.next_number()
             self.attempt_leases.grant(
-                self.writer, held.accepted.number, attempt, lambda _: None if self._stopped else go()
+                self.writer, durable_job.accepted.number, attempt, lambda _: None if self._stopped else send()
             )
 
     def postpone(self, call: Callable[[], None]) -> None:
-        """While the store is to leave: another process goes on with its jobs, or this one if that fails."""
+        """Defer a call during a handover: it is dropped on success, and made here if the handover fails."""
         self._postponed.append(call)
 
-    def stay(self) -> None:
-        """The store stays here after all: what came up meanwhile is carried out."""
+    def cancel_handover(self) -> None:
+        """Cancel the handover of the store and make the deferred calls."""
         self.leaving = False
         postponed, self._postponed = self._postponed, []
         for call in postponed:
             call()
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
-        """Extend an attempt's lease after a sign of its worker."""
+        """Extend an attempt's lease after a callback of its worker."""
         self.attempt_leases.renew(self.writer, attempt, begun)
 
-    def attempt_ended(self, held: Held, attempt: Attempt, result: io.Result) -> None:
-        """Record the end of an attempt, and whose result counts."""
-        if result is io.Result.OK and held.ending is None:  # of two copies the first to end has the result
-            held.winner = attempt.token
+    def attempt_ended(self, durable_job: Held, attempt: Attempt, result: io.Result) -> None:
+        """Record the end of an attempt, and which attempt provides the result."""
+        if (
+            result is io.Result.OK and durable_job.ending is None
+        ):  # the first of two hedged attempts to end provides the result
+            durable_job.result_token = attempt.token
         self.attempt_leases.end(self.writer, attempt, result)
 
-    # ---- call-backs -----------------------------------------------------------------------
+    # ---- callbacks ------------------------------------------------------------------------
 
-    def acknowledge(self, held: Held, done: Callable[[int], None]) -> None:
-        """The worker is told that its call has come once what follows from it is on disk."""
-        if held.ending is not None:
-            held.calls.append(done)
+    def acknowledge(self, durable_job: Held, done: Callable[[int], None]) -> None:
+        """Answer a callback, once the end that it caused is on disk."""
+        if durable_job.ending is not None:
+            durable_job.callbacks.append(done)
         else:
             done(HTTPStatus.NO_CONTENT)
 
     def unmatched(self, req_id: str, token: int, result: bytes | None, done: Callable[[int], None]) -> None:
-        """A call-back whose token is not that of an attempt that is out; ``result`` where it brings one.
+        """Handle a callback whose token matches no open attempt; ``result`` is None if it has none.
 
-        It is taken only from whoever had the job last, while nobody has it since; and acknowledged again
-        where it is on disk already.
+        A result counts only if its token is that of the job's latest attempt and no attempt is open.  A
+        callback whose result is on disk already is acknowledged again.
         """
-        held = self.register.by_req.get(req_id)
-        if held is None:
-            self._known_already(token, done)
-        elif held.ending is not None and held.winner == token:
-            held.calls.append(done)
-        elif result is not None and held.ending is None and held.last_token == token and not held.out():
+        durable_job = self.register.by_req.get(req_id)
+        if durable_job is None:
+            self._acknowledge_recorded(token, done)
+        elif durable_job.ending is not None and durable_job.result_token == token:
+            durable_job.callbacks.append(done)
+        elif (
+            result is not None
+            and durable_job.ending is None
+            and durable_job.last_token == token
+            and not durable_job.has_open_attempt()
+        ):
             self.late_results += 1
-            held.winner = token
-            held.calls.append(done)
-            if held.tracked is not None:
-                self._tracker.serve_late(held.tracked, result)
+            durable_job.result_token = token
+            durable_job.callbacks.append(done)
+            if durable_job.tracked is not None:
+                self._tracker.serve_late(durable_job.tracked, result)
             else:
-                held.serve(result)
+                durable_job.serve(result)
         else:
             self.stale_calls += 1
             done(HTTPStatus.CONFLICT)
 
-    def _known_already(self, token: int, done: Callable[[int], None]) -> None:
+    def _acknowledge_recorded(self, token: int, done: Callable[[int], None]) -> None:
         def answer(found: object) -> None:
-            ours = isinstance(found, Found) and found.state is JobState.SERVED and found.token == token
-            self.stale_calls += not ours
-            done(HTTPStatus.NO_CONTENT if ours else HTTPStatus.CONFLICT)
+            is_recorded = isinstance(found, Found) and found.state is JobState.SERVED and found.token == token
+            self.stale_calls += not is_recorded
+            done(HTTPStatus.NO_CONTENT if is_recorded else HTTPStatus.CONFLICT)
 
         if self.writer is None:
             done(HTTPStatus.CONFLICT)
         else:
-            self.writer.ask(lambda store: store.find_by_token(token), answer)
+            self.writer.read_store(lambda store: store.find_by_token(token), answer)
 
     def when_loaded(self, call: Callable[[], None]) -> bool:
-        """Makes the call once all open jobs are known; False where they are, and the call is not made."""
+        """Defer a call until all open jobs are loaded; False if they are, or during a handover."""
         if not self.loaded and not self.leaving:
-            self.reading.defer(call)
+            self.read_back.defer(call)
             return True
         return False
 
     # ---- ends -----------------------------------------------------------------------------
 
-    def end(self, held: Held, ending: Ending) -> None:
-        """Writes it down, and tells whoever waits once that is done; who has no time left asks before."""
-        if held.ending is not None:
+    def end(self, durable_job: Held, ending: Ending) -> None:
+        """Record the end of a job and notify its waiters once it is on disk.
+
+        A waiter whose deadline comes earlier reads ``ending`` itself.
+        """
+        if durable_job.ending is not None:
             return
-        held.ending = ending
-        self.reading.entrance.drop(held)
+        durable_job.ending = ending
+        self.read_back.recovery_queue.remove(durable_job)
         now = self.loop.now
-        waited_for = held.waiters and ending.state is JobState.SERVED
-        keep = self._options.keep_collected if waited_for else self._options.keep_results
+        collected_at_once = durable_job.waiters and ending.state is JobState.SERVED
+        retention = self._options.keep_collected if collected_at_once else self._options.keep_results
         if self.writer is not None:
             self.writer.write(
                 Ended(
-                    held.accepted.number,
+                    durable_job.accepted.number,
                     ending.state,
                     ending.result,
-                    held.winner,
+                    durable_job.result_token,
                     now // MICROSECOND,
-                    (now + keep) // MICROSECOND,
+                    (now + retention) // MICROSECOND,
                     ending.timed_out,
                 ),
-                partial(self._ended, held),
+                partial(self._ended, durable_job),
             )
 
-    def _ended(self, held: Held, _: Found | None) -> None:
-        self._tell(held)
-        self.register.drop(held)
-        calls, held.calls = held.calls, []
-        for call in calls:
+    def _ended(self, durable_job: Held, _: Found | None) -> None:
+        self._notify_waiters(durable_job)
+        self.register.remove(durable_job)
+        callbacks, durable_job.callbacks = durable_job.callbacks, []
+        for call in callbacks:
             call(HTTPStatus.NO_CONTENT)
 
-    def _tell(self, held: Held) -> None:
-        ending = held.ending
-        if not held.told and ending is not None:
-            held.told = True
-            waiters, held.waiters = held.waiters, []
+    def _notify_waiters(self, durable_job: Held) -> None:
+        ending = durable_job.ending
+        if not durable_job.told and ending is not None:
+            durable_job.told = True
+            waiters, durable_job.waiters = durable_job.waiters, []
             for waiter in waiters:
                 waiter.ended(ending)
 
 
-def _asked(found: object) -> Found | int:
+def _lookup_result(found: object) -> Found | int:
     if isinstance(found, Found):
         return found
     return HTTPStatus.GONE if found is None else HTTPStatus.SERVICE_UNAVAILABLE
--- a/carthinge/durable/limits.py
+++ b/carthinge/durable/limits.py
@@ -1,4 +1,4 @@
-"""How much durable work is taken on.  No I/O and no clock."""
+"""Limits on the durable jobs that are accepted.  No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from enum import Enum
 from typing import Final
 
-SPARE_PART: Final = 0.1  # of the store, for the results of what has been taken already
-RECORD_BYTES: Final = 600  # on disk, of a job beside its body and of the attempts that it is likely to have
+RESERVED_SHARE: Final = 0.1  # of the store, for the results of jobs that were accepted already
+RECORD_OVERHEAD_BYTES: Final = (
+    600  # on disk, per job beside its body, with the attempts that it is likely to have
+)
 
 
 class Shed(Enum):
-    """Why a durable job is not taken on; each goes away by itself."""
+    """Why a durable job is not accepted; each reason is temporary."""
 
     FAILING = "the store cannot be written"
     BACKLOG = "the store lags behind"
@@ -24,7 +26,7 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Counts what is open, and says what still fits."""
+    """Counts open jobs, and decides whether another one may be accepted."""
 
     max_open: int
     max_open_per_tenant: int
@@ -35,18 +37,20 @@
     bytes: int = 0
     tenants: Counter[str] = field(default_factory=Counter)
 
-    def refusal(self, tenant: str, size: int, backlog: int, store_bytes: int, failing: bool) -> Shed | None:
-        """Why a job with a body of ``size`` bytes is not taken on, None where it is.
+    def shed_reason(
+        self, tenant: str, size: int, backlog: int, store_bytes: int, failing: bool
+    ) -> Shed | None:
+        """Return why a job with a body of ``size`` bytes is not accepted, None if it is.
 
-        ``backlog``: records that wait for the disk; ``store_bytes``: in use on disk, as last measured.  What
-        waits for the disk still is counted as if each record were a job of this size: it may be.
+        ``backlog``: records not on disk yet; ``store_bytes``: in use on disk, as last measured.  Each record
+        of the backlog counts as a job of this size, since it may be one.
         """
         if failing:
             return Shed.FAILING
         if backlog >= self.max_backlog:
             return Shed.BACKLOG
-        room = (1 - SPARE_PART) * self.max_store_bytes - store_bytes
-        if room < (backlog + 1) * (size + RECORD_BYTES):
+        available_bytes = (1 - RESERVED_SHARE) * self.max_store_bytes - store_bytes
+        if available_bytes < (backlog + 1) * (size + RECORD_OVERHEAD_BYTES):
             return Shed.FULL
         if self.open >= self.max_open:
             return Shed.OPEN
@@ -56,17 +60,17 @@
             return Shed.BYTES
         return None
 
-    def enter(self, tenant: str, size: int) -> None:
-        """A job is open from now on; recovered ones are, whatever the limits say."""
+    def add(self, tenant: str, size: int) -> None:
+        """Count an open job; recovered jobs are counted even beyond the limits."""
         self.open += 1
         self.bytes += size
         self.tenants[tenant] += 1
 
-    def leave(self, tenant: str, size: int) -> None:
-        """It has ended."""
+    def remove(self, tenant: str, size: int) -> None:
+        """Stop counting a job that has ended."""
         self.open -= 1
         self.bytes -= size
         self.tenants[tenant] -= 1
         if not self.tenants[tenant]:
             del self.tenants[tenant]
-        assert self.open >= 0 and self.bytes >= 0, "a job left that had not entered"
+        assert self.open >= 0 and self.bytes >= 0, "a job was removed that had not been added"
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -1,4 +1,4 @@
-"""Open jobs that are read back from the store after a start, a part of them at a time."""
+"""Loading of open jobs from the store after a start, in batches."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.errors import StoreError
-from carthinge.durable.held import Ending, Held, HeldBy
+from carthinge.durable.held import Ending, Held, JobRecorder
 from carthinge.durable.records import Accepted, AttemptState, JobState, OpenJobs, StoredJob
-from carthinge.durable.recovery import Entrance
+from carthinge.durable.recovery import RecoveryQueue
 from carthinge.durable.register import Register
 from carthinge.durable.writer import Writer
 from carthinge.net import log
@@ -20,15 +20,15 @@
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Terms
 
-LOADED_AT_ONCE: Final = 500  # jobs, between two turns of the loop
+LOAD_BATCH_JOBS: Final = 500  # per turn of the loop
 
 
 class ReadBack:
-    """Has the jobs of a store enter the tracker again; what needs all of them waits until then."""
+    """Loads the open jobs of a store and readmits them; defers calls that need all of them."""
 
     def __init__(
         self,
-        jobs: HeldBy,
+        jobs: JobRecorder,
         loop: Loop,
         tracker: RequestTracker,
         register: Register,
@@ -37,24 +37,24 @@
         path: Path,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
-        """``per_s``: how many jobs a second may enter; ``terms_of``: as for the jobs themselves."""
-        self.loaded = False  #: all of them have been read
-        self.recovered = 0  #: so many
-        self.damaged: set[int] = set()  #: numbers of those whose records cannot be read
-        self.entrance: Entrance[Held] = Entrance(per_s)
+        """``per_s``: jobs readmitted per second; ``terms_of``: as in ``DurableJobs``."""
+        self.loaded = False  #: whether all open jobs have been read
+        self.recovered = 0  #: number of jobs read
+        self.damaged: set[int] = set()  #: numbers of jobs whose records cannot be read
+        self.recovery_queue: RecoveryQueue[Held] = RecoveryQueue(per_s)
         self._jobs = jobs
         self._loop = loop
         self._tracker = tracker
         self._register = register
-        self._tenure = attempt_leases
+        self._attempt_leases = attempt_leases
         self._path = path
         self._terms_of = terms_of
         self._writer: Writer | None = None
         self._deferred: list[Callable[[], None]] = []
 
     def begin(self, writer: Writer) -> None:
-        """Reads the jobs of a store that was just opened."""
-        gc.disable()  # until all is read back: it would go through that again and again, for 0.2 s each
+        """Start to load the open jobs of a store that was just opened."""
+        gc.disable()  # until all is loaded: else each collection would traverse the loaded jobs, for 0.2 s
         self._writer = writer
         self.loaded = False
         self.recovered = 0
@@ -62,79 +62,83 @@
         self._load(0)
 
     def stop(self) -> None:
-        """The store is given up; nothing more enters from it."""
+        """Stop loading and readmitting: the store is being closed."""
         self._writer = None
         self.loaded = False
         gc.enable()
 
     def defer(self, call: Callable[[], None]) -> None:
-        """``call`` is made once all jobs are known."""
+        """Defer ``call`` until all open jobs are loaded."""
         self._deferred.append(call)
 
     def _load(self, after: int) -> None:
         writer = self._writer
         if writer is not None:
-            writer.ask(
-                lambda store: store.open_jobs(after, LOADED_AT_ONCE),
-                lambda found: self._take(found) if self._writer is writer else None,
+            writer.read_store(
+                lambda store: store.open_jobs(after, LOAD_BATCH_JOBS),
+                lambda found: self._handle_batch(found) if self._writer is writer else None,
             )
 
-    def _take(self, found: object) -> None:
+    def _handle_batch(self, found: object) -> None:
         if isinstance(found, StoreError):
-            # What cannot be read cannot be answered, and more must not be put on top of it.
+            # Jobs that cannot be read cannot be answered, and no more may be added to such a store.
             log.logger().error("store_unreadable", why=str(found))
             raise found
         assert isinstance(found, OpenJobs)
         for stored in found.jobs:
             self._recover(stored)
-        for number in found.damaged:  # it stays as it is for whoever mends it, and harms no other
+        for number in found.damaged:  # left as it is for repair; other jobs are served
             self.damaged.add(number)
             log.logger().error("job_damaged", job=f"{number:x}", path=str(self._path))
         if found.last:
             self._load(found.last)
         else:
-            self._end()
+            self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.loaded = True
         gc.enable()
         log.logger().info("store_loaded", jobs=self.recovered, path=str(self._path))
         deferred, self._deferred = self._deferred, []
         for call in deferred:
             call()
-        self._enter()
+        self._readmit_due()
 
     def _recover(self, stored: StoredJob) -> None:
         accepted = stored.accepted
-        held = Held(self._jobs, accepted, on_disk=True, restored=stored.attempts)
-        held.last_token = max((sent.token for sent in stored.attempts), default=0)
+        durable_job = Held(self._jobs, accepted, on_disk=True, stored_attempts=stored.attempts)
+        durable_job.last_token = max((sent.token for sent in stored.attempts), default=0)
         self.recovered += 1
-        self._register.enter(held)
+        self._register.add(durable_job)
         if any(sent.state is AttemptState.OUT for sent in stored.attempts):
-            self._restore(held)
+            self._restore(durable_job)
         else:
-            self.entrance.park(held, accepted.give_up * MICROSECOND)
+            self.recovery_queue.add(durable_job, accepted.give_up * MICROSECOND)
 
-    def _enter(self) -> None:
+    def _readmit_due(self) -> None:
         now = self._loop.clock.now()
-        for held in self.entrance.enter(now):
-            self._restore(held)
-        due = self.entrance.due(now)
+        for durable_job in self.recovery_queue.pop_due(now):
+            self._restore(durable_job)
+        due = self.recovery_queue.next_due(now)
         if due is not None:
-            self._loop.call_at(due, self._enter)
+            self._loop.call_at(due, self._readmit_due)
 
-    def _restore(self, held: Held) -> None:
-        """The tracker takes it on, with the attempts that it has had."""
-        accepted = held.accepted
-        left = accepted.give_up * MICROSECOND - self._loop.now
-        terms = self._terms_of(accepted, left)
+    def _restore(self, durable_job: Held) -> None:
+        """Pass a job to the tracker, with its earlier attempts."""
+        accepted = durable_job.accepted
+        time_left = accepted.give_up * MICROSECOND - self._loop.now
+        terms = self._terms_of(accepted, time_left)
         if terms is None:
-            self._jobs.end(held, Ending(JobState.FAILED, b"its class or tenant is no longer served\n"))
+            self._jobs.end(durable_job, Ending(JobState.FAILED, b"its class or tenant is no longer served\n"))
             return
-        stored, held.restored = held.restored, []
-        held.tracked = self._tracker.restore(
-            held.job(), terms, held, held, [self._tenure.read_back(attempt) for attempt in stored]
+        stored, durable_job.stored_attempts = durable_job.stored_attempts, []
+        durable_job.tracked = self._tracker.restore(
+            durable_job.job(),
+            terms,
+            durable_job,
+            durable_job,
+            [self._attempt_leases.convert(attempt) for attempt in stored],
         )
-        for attempt, known in zip(held.tracked.attempts, stored, strict=True):
+        for attempt, known in zip(durable_job.tracked.attempts, stored, strict=True):
             if attempt.open and known.until:
-                self._tenure.resume(attempt)
+                self._attempt_leases.resume(attempt)
--- a/carthinge/durable/records.py
+++ b/carthinge/durable/records.py
@@ -1,4 +1,4 @@
-"""What is written down of durable jobs, and what is read back.  Times: microseconds on the loop's clock."""
+"""Records written to the store and read from it.  Times are microseconds on the loop's clock."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class JobState(IntEnum):
-    """Where a job stands; everything but ``OPEN`` is final."""
+    """The state of a job; all but ``OPEN`` are final."""
 
     OPEN = 0
     SERVED = 1
     FAILED = 2
-    REFUSED = 3  #: never ran, and its key is free again
+    REFUSED = 3  #: never ran, and its key may be used again
     GIVEN_UP = 4  #: by its client
 
 
 class AttemptState(IntEnum):
-    """Where an attempt stands."""
+    """The state of an attempt."""
 
-    OUT = 0  #: granted; perhaps sent, perhaps running
+    OUT = 0  #: granted; may have been sent, may be running
     NEVER_RAN = 1
     MAY_HAVE_RUN = 2  #: ended without a result
 
 
 class Terms(msgspec.Struct, frozen=True, array_like=True):
-    """How a job counts for the decisions, by names and units that outlive a change of settings."""
+    """Inputs of the decisions about a job, in names and units that stay valid when settings change."""
 
     key: int
     hint_us: int | None
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True, eq=False)
 class Accepted:
-    """A job is taken on.  ``cancelled`` is set from the loop for one that nobody waits for any more."""
+    """A job is accepted.  The loop sets ``cancelled`` on one that was shed before it was written."""
 
     number: int
     req_id: str
     tenant: str
     class_name: str
     key: bytes | None  #: digest of tenant, class and Idempotency-Key
-    digest: bytes  #: of what was asked for
+    digest: bytes  #: of subject and body
     subject: bytes
     body: bytes
     headers: tuple[tuple[str, bytes], ...]
@@ -56,21 +56,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """An attempt is about to be sent; on disk before its first byte is."""
+    """An attempt is about to be sent; on disk before its first byte is sent."""
 
     token: int
     job: int
     number: int
     worker: str
     address: str
-    entry: bytes  #: the worker as it was listed, by msgpack
+    entry: bytes  #: the listed entry of the worker, encoded with msgpack
     sent: int
     due: int
 
 
 @dataclass(frozen=True, slots=True)
 class Renewed:
-    """Its worker has given a sign: the lease holds until then, and the job has begun (0: not known to)."""
+    """A callback renewed the lease to ``until``; ``begun`` is 0 if the job is not known to have begun."""
 
     token: int
     until: int
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedBack:
+class AttemptFailed:
     """An attempt has ended without a result."""
 
     token: int
@@ -87,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A job has its final end."""
+    """A job has ended."""
 
     number: int
     state: JobState
     result: bytes
-    token: int  #: of the attempt whose result it is, 0 for none
+    token: int  #: of the attempt that provided the result, 0 for none
     at: int
     forget_at: int
     timed_out: bool = False
@@ -100,18 +100,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Collected:
-    """A client has had the result."""
+    """A client has received the result."""
 
     number: int
     forget_at: int
 
 
-Record = Accepted | Granted | Renewed | HandedBack | Ended | Collected
+Record = Accepted | Granted | Renewed | AttemptFailed | Ended | Collected
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAttempt:
-    """An attempt as it was read back."""
+    """An attempt as read from the store."""
 
     token: int
     number: int
@@ -120,14 +120,14 @@
     entry: bytes
     sent: int
     due: int
-    until: int  #: of its lease, 0 where its worker was not known to take part
+    until: int  #: end of its lease, 0 if its worker was not known to take part
     begun: int
     state: AttemptState
 
 
 @dataclass(slots=True, eq=False)
 class StoredJob:
-    """An open job as it was read back."""
+    """An open job as read from the store."""
 
     accepted: Accepted
     attempts: list[StoredAttempt] = field(default_factory=list)
@@ -135,16 +135,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenJobs:
-    """A part of the open jobs, as they were read back."""
+    """A batch of open jobs as read from the store."""
 
     jobs: list[StoredJob]
-    damaged: list[int]  #: numbers of those whose records cannot be read
-    last: int  #: the highest number that was looked at, 0 where there was none
+    damaged: list[int]  #: numbers of jobs whose records cannot be read
+    last: int  #: the highest number in the batch, 0 if it is empty
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What the store has of a job that is asked for, whatever its state."""
+    """A stored job in any state, as found by number, token or key."""
 
     number: int
     state: JobState
--- a/carthinge/durable/register.py
+++ b/carthinge/durable/register.py
@@ -1,4 +1,4 @@
-"""The durable jobs that are open here, by all that they are looked for by."""
+"""The index of the durable jobs that are open here."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Register:
-    """Open jobs, by number, by key and by the request that brought them; counted by the limits."""
+    """Open jobs by number, by key and by request id; counted by the limits."""
 
     def __init__(self, limits: Limits) -> None:
         self.by_number: dict[int, Held] = {}
@@ -15,23 +15,23 @@
         self.by_req: dict[str, Held] = {}
         self._limits = limits
 
-    def enter(self, held: Held) -> None:
-        """It is open from now on."""
-        accepted = held.accepted
-        self.by_number[accepted.number] = held
-        self.by_req[accepted.req_id] = held
+    def add(self, durable_job: Held) -> None:
+        """Add an open job."""
+        accepted = durable_job.accepted
+        self.by_number[accepted.number] = durable_job
+        self.by_req[accepted.req_id] = durable_job
         if accepted.key is not None:
-            self.by_key[accepted.key] = held
-        self._limits.enter(accepted.tenant, len(accepted.body))
+            self.by_key[accepted.key] = durable_job
+        self._limits.add(accepted.tenant, len(accepted.body))
 
-    def drop(self, held: Held) -> None:
-        """It is not open any more; without effect where it was not."""
-        accepted = held.accepted
+    def remove(self, durable_job: Held) -> None:
+        """Remove a job, if it is in the register."""
+        accepted = durable_job.accepted
         if self.by_number.pop(accepted.number, None) is None:
             return
-        if self.by_req.get(accepted.req_id) is held:
+        if self.by_req.get(accepted.req_id) is durable_job:
             del self.by_req[accepted.req_id]
-        if accepted.key is not None and self.by_key.get(accepted.key) is held:
+        if accepted.key is not None and self.by_key.get(accepted.key) is durable_job:
             del self.by_key[accepted.key]
-        self._limits.leave(accepted.tenant, len(accepted.body))
-        held.tracked = None  # else the two keep each other until the collector comes by
+        self._limits.remove(accepted.tenant, len(accepted.body))
+        durable_job.tracked = None  # breaks the reference cycle, which only the garbage collector would free
--- a/carthinge/durable/rows.py
+++ b/carthinge/durable/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store to records; each carries a checksum of what must not change."""
+"""Conversion of the store's rows to records, and the checksums that guard them."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 def body_crc(number: int, subject: bytes, body: bytes) -> int:
-    """Return the checksum of what a client handed in."""
+    """Return the checksum of a client's request."""
     return crc32(body, crc32(subject, number & 0xFFFFFFFF))
 
 
 def result_crc(number: int, state: int, result: bytes) -> int:
-    """Return the checksum of how a job has ended."""
+    """Return the checksum of an ended job's state and result."""
     return crc32(result, crc32(bytes((state,)), number & 0xFFFFFFFF))
 
 
 FOUND_COLUMNS: Final = "number, state, digest, result, token, timed_out, req_id"
-_HEADERS: Final[msgspec.msgpack.Decoder[tuple[tuple[str, bytes], ...]]] = msgspec.msgpack.Decoder(
+_HEADERS_DECODER: Final[msgspec.msgpack.Decoder[tuple[tuple[str, bytes], ...]]] = msgspec.msgpack.Decoder(
     tuple[tuple[str, bytes], ...]
 )
-_TERMS: Final[msgspec.msgpack.Decoder[Terms]] = msgspec.msgpack.Decoder(Terms)
+_TERMS_DECODER: Final[msgspec.msgpack.Decoder[Terms]] = msgspec.msgpack.Decoder(Terms)
 
 
-def stored_job(row: Sequence[Any]) -> StoredJob:
-    """ValueError, TypeError or MsgspecError where the record is damaged."""
-    number, req_id, tenant, name, key, digest, subject, body, headers, terms, came, give_up, crc = row
+def decode_job(row: Sequence[Any]) -> StoredJob:
+    """Decode an open job; ValueError, TypeError or MsgspecError if the record is damaged."""
+    number, req_id, tenant, class_name, key, digest, subject, body, headers, terms, came, give_up, crc = row
     if crc != body_crc(number, subject, body):
         raise ValueError(f"job {number:x} is damaged")
     return StoredJob(
@@ -38,20 +38,20 @@
             number,
             req_id,
             tenant,
-            name,
+            class_name,
             key,
             digest,
             subject,
             body,
-            _HEADERS.decode(headers),
-            _TERMS.decode(terms),
+            _HEADERS_DECODER.decode(headers),
+            _TERMS_DECODER.decode(terms),
             came,
             give_up,
         )
     )
 
 
-def found_job(row: Sequence[Any]) -> Found:
-    """Return what a row says of a job, whatever its state."""
+def decode_found(row: Sequence[Any]) -> Found:
+    """Decode a row of FOUND_COLUMNS, whatever the job's state."""
     number, state, digest, result, token, timed_out, req_id = row
     return Found(number, JobState(state), digest, result or b"", token, bool(timed_out), req_id)
--- a/carthinge/durable/schema.py
+++ b/carthinge/durable/schema.py
@@ -1,15 +1,15 @@
-"""The tables of the store, and what identifies a file as one."""
+"""The tables of the store, and the header values that identify its file."""
 
 from __future__ import annotations
 
 from typing import Final
 
-APPLICATION: Final = 0x63617274  # "cart", in the file's header: another program's database is not touched
-FORMAT: Final = 1  # of these tables; a newer one is refused, an older one would be brought up here
-PAGE: Final = 4096
+APPLICATION_ID: Final = 0x63617274  # "cart", in the file's header: databases of other programs are refused
+FORMAT: Final = 1  # of these tables; any other is refused, since there is no migration yet
+PAGE_BYTES: Final = 4096
 
-#: A job keeps its body until it has ended, and its result from then on.  ``crc`` covers whichever it has.
-#: ``key`` is empty again once a job was refused, so that the next request with it is a new job.
+#: A job has its body until it ends, and its result from then on; ``crc`` covers the one that it has.
+#: ``key`` is set to NULL when a job is refused, so that the next request with that key is a new job.
 TABLES: Final = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value ANY) STRICT, WITHOUT ROWID;
 CREATE TABLE jobs (
--- a/carthinge/durable/store.py
+++ b/carthinge/durable/store.py
@@ -1,13 +1,12 @@
 """The store: an SQLite database in a folder of its own, with one owner at a time.  Its calls block.
 
-How it keeps its promises.  WAL with ``synchronous=FULL``: a commit returns once its frames are synced to the
-log, so what ``apply`` has returned from is there after a power loss.  A commit that was torn is not taken at
-the next start, since the checksums of its frames do not fit; the one before it is.  ``apply`` may be called
-again with the same batch after an error, whether or not the failed call got through: everything in it is
-written in such a way that twice is once.
-
-Statements write many rows each.  SQLite lets go of the interpreter's lock at each step, and a busy loop takes
-it for milliseconds then; a statement for each row would be limited by that and not by the disk.
+Durability: WAL with ``synchronous=FULL``.  A commit returns once its frames are synced to the log, so a batch
+that ``apply`` has returned from survives a power loss.  At the next start a torn commit is ignored, since the
+checksums of its frames do not match; the commits before it are kept.  ``apply`` is idempotent: after an error
+it may be called again with the same batch, whether or not the failed call was committed.
+
+Each statement writes many rows.  SQLite releases the interpreter's lock at each step, and a busy loop then
+holds it for milliseconds; with one statement per row that would be the limit, not the disk.
 """
 
 from __future__ import annotations
@@ -28,12 +27,12 @@
 from carthinge.durable.files import Files
 from carthinge.durable.records import (
     Accepted,
+    AttemptFailed,
     AttemptState,
     Collected,
     Ended,
     Found,
     Granted,
-    HandedBack,
     JobState,
     OpenJobs,
     Record,
@@ -41,54 +40,54 @@
     StoredAttempt,
     StoredJob,
 )
-from carthinge.durable.rows import FOUND_COLUMNS, body_crc, found_job, result_crc, stored_job
-from carthinge.durable.schema import APPLICATION, FORMAT, PAGE, TABLES
+from carthinge.durable.rows import FOUND_COLUMNS, body_crc, decode_found, decode_job, result_crc
+from carthinge.durable.schema import APPLICATION_ID, FORMAT, PAGE_BYTES, TABLES
 from carthinge.durable.wal import examine
 from carthinge.net import log
 
-DATABASE: Final = "jobs.db"
-LOCK: Final = "owner.lock"
-WAL_PAGES: Final = 1000  # after so many the log is folded into the database
-FORGET_AT_ONCE: Final = 500  # jobs of one transaction, which must not hold up the next commit for long
-LONG_AGO: Final = 0
-SPACE_PAGES: Final = 256  # given back at once
+DATABASE_FILE: Final = "jobs.db"
+LOCK_FILE: Final = "owner.lock"
+CHECKPOINT_PAGES: Final = 1000  # of the log, after which it is checkpointed into the database
+FORGET_BATCH_JOBS: Final = 500  # per transaction, which must not delay the next commit for long
+SENT_LONG_AGO_US: Final = 0
+VACUUM_PAGES: Final = 256  # returned to the file system at a time
 
 
 @dataclass(frozen=True, slots=True)
 class Time:
-    """What the store is told of the time: it reads no clock itself."""
+    """The time passed to the store, which reads no clock itself; in microseconds."""
 
-    now: int  #: the loop's clock, which goes on while the machine runs
-    wall: int  #: microseconds since 1970
-    boot: str  #: names this run of the machine: times of another one are on another clock
+    now: int  #: the loop's clock, monotonic until the machine restarts
+    wall: int  #: since 1970
+    boot: str  #: boot id of the machine: each boot has its own monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """How full the store is."""
+    """Space used in the database file."""
 
     bytes_used: int
-    bytes_free: int  #: of the file, to be used before it grows
+    bytes_free: int  #: free pages in the file, which are used before it grows
 
 
-def take(folder: Path, files: Files) -> int:
-    """The lock of a folder, as a descriptor that holds it; StoreError where another process has it."""
-    lock = files.open_lock(folder / LOCK)
+def acquire_lock(folder: Path, files: Files) -> int:
+    """Lock a folder and return the descriptor that holds the lock; StoreError if another process has it."""
+    lock = files.open_lock(folder / LOCK_FILE)
     try:
         files.lock(lock)
     except OSError as fault:
-        holder = files.owner(lock) if isinstance(fault, BlockingIOError) else ""
+        owner = files.owner(lock) if isinstance(fault, BlockingIOError) else ""
         files.close(lock)
         if not isinstance(fault, BlockingIOError):
             raise
-        raise StoreError(f"{folder}: in use by process {holder or 'unknown'}") from None
-    with contextlib.suppress(OSError):  # a full disk: the lock is what counts, the name is for people
+        raise StoreError(f"{folder}: in use by process {owner or 'unknown'}") from None
+    with contextlib.suppress(OSError):  # a full disk: the owner is only informational
         files.note_owner(lock, str(os.getpid()))
     return lock
 
 
 class Store(Database):
-    """One owner's hold of a folder.  ``open`` first; then from one thread at a time."""
+    """The store in a folder.  After ``open``, it may be used by one thread at a time."""
 
     def __init__(
         self,
@@ -97,26 +96,26 @@
         connect: Connect = connect,
         files: Files | None = None,
     ) -> None:
-        """``connect`` and ``files``: the calls of the disk, which tests have fail."""
+        """``connect`` and ``files`` make the disk calls; tests inject faults through them."""
         super().__init__()
         self._files = files or Files()
         self.folder = Path(folder)
-        self.path = self.folder / DATABASE
+        self.path = self.folder / DATABASE_FILE
         self.secret = b""
-        self.epoch = 0  #: one higher at each opening
-        self._max_pages = max(64, max_bytes // PAGE)
+        self.epoch = 0  #: incremented at each opening
+        self._max_pages = max(64, max_bytes // PAGE_BYTES)
         self._connect = connect
         self._lock: int | None = None
-        self._told: Time | None = None
+        self._saved_time: Time | None = None
 
-    # ---- one owner ------------------------------------------------------------------------
+    # ---- opening and closing --------------------------------------------------------------
 
     def open(self, time: Time) -> None:
-        """Takes the folder, makes what is missing, and brings times onto this clock."""
+        """Lock the folder, create what is missing, and convert stored times to the current clock."""
         try:
             self._files.make_folder(self.folder)
-            self._lock = take(self.folder, self._files)
-            self._examine_log()
+            self._lock = acquire_lock(self.folder, self._files)
+            self._check_log()
             self._database = self._connect(str(self.path))
             self._prepare(time)
         except (OSError, sqlite3.Error, StoreError) as fault:
@@ -126,98 +125,104 @@
             raise StoreError(f"{self.path}: {fault}") from fault
 
     def close(self) -> None:
-        """Lets go of the folder; what was applied stays."""
+        """Close the database and release the folder."""
         database, self._database = self._database, None
         try:
             if database is not None:
                 database.close()
-        except sqlite3.Error as fault:  # what was applied is on disk all the same
+        except sqlite3.Error as fault:  # applied batches are on disk anyway
             log.logger().warning("store_not_closed", why=str(fault), path=str(self.path))
         finally:
             lock, self._lock = self._lock, None
             if lock is not None:
                 self._files.close(lock)
 
-    def _examine_log(self) -> None:
-        """Guards against damage further up in the log, after which SQLite silently takes no more."""
-        wal = self.path.with_name(f"{DATABASE}-wal")
+    def _check_log(self) -> None:
+        """Refuse a log that is damaged in the middle: SQLite would silently ignore what follows."""
+        wal = self.path.with_name(f"{DATABASE_FILE}-wal")
         content = self._files.read(wal)
         if content is not None and (found := examine(content)).damaged:
             raise StoreError(
-                f"{wal}: damaged after {found.commits} commits, with {found.beyond} more behind "
-                "that: what was taken on then would be lost. Restore it, or move it away to go "
-                "on without them"
+                f"{wal}: damaged after {found.valid_commits} commits, with {found.later_commits} more behind "
+                "that, whose jobs would be lost. Restore it, or move it away to continue without "
+                "them"
             )
 
     def _prepare(self, time: Time) -> None:
-        run = self._run
-        new = not self._one("SELECT count(*) FROM sqlite_schema")
+        execute = self._execute
+        new = not self._fetch_value("SELECT count(*) FROM sqlite_schema")
         if new:
-            run(f"PRAGMA page_size={PAGE}")
-            run("PRAGMA auto_vacuum=INCREMENTAL")
-        elif self._one("PRAGMA application_id") != APPLICATION:
+            execute(f"PRAGMA page_size={PAGE_BYTES}")
+            execute("PRAGMA auto_vacuum=INCREMENTAL")
+        elif self._fetch_value("PRAGMA application_id") != APPLICATION_ID:
             raise StoreError(f"{self.path}: not a store of carthinge")
-        elif (found := self._one("PRAGMA user_version")) != FORMAT:
+        elif (found := self._fetch_value("PRAGMA user_version")) != FORMAT:
             raise StoreError(f"{self.path}: of format {found}; this program reads format {FORMAT}")
-        if self._one("PRAGMA journal_mode=WAL") != "wal":
+        if self._fetch_value("PRAGMA journal_mode=WAL") != "wal":
             raise StoreError(f"{self.path}: its folder cannot hold a write-ahead log")
         for pragma in (
             "synchronous=FULL",
-            f"wal_autocheckpoint={WAL_PAGES}",
+            f"wal_autocheckpoint={CHECKPOINT_PAGES}",
             "cell_size_check=ON",
-            f"journal_size_limit={2 * WAL_PAGES * PAGE}",
+            f"journal_size_limit={2 * CHECKPOINT_PAGES * PAGE_BYTES}",
             "cache_size=-2000",
             f"max_page_count={self._max_pages}",
         ):
-            run(f"PRAGMA {pragma}")
-        run("BEGIN IMMEDIATE")
+            execute(f"PRAGMA {pragma}")
+        execute("BEGIN IMMEDIATE")
         if new:
             for statement in TABLES.split(";"):
-                run(statement)
-            run(f"PRAGMA application_id={APPLICATION}")
-            run(f"PRAGMA user_version={FORMAT}")
-            self._set(secret=secrets.token_bytes(32), epoch=0, boot=time.boot, now=time.now, wall=time.wall)
+                execute(statement)
+            execute(f"PRAGMA application_id={APPLICATION_ID}")
+            execute(f"PRAGMA user_version={FORMAT}")
+            self._set_meta(
+                secret=secrets.token_bytes(32), epoch=0, boot=time.boot, now=time.now, wall=time.wall
+            )
         else:
-            self._move_times(time)
-        meta = dict(self._all("SELECT name, value FROM meta"))
+            self._shift_times(time)
+        meta = dict(self._fetch_all("SELECT name, value FROM meta"))
         self.secret, self.epoch = bytes(meta["secret"]), int(meta["epoch"]) + 1
-        self._set(epoch=self.epoch)
-        run("COMMIT")
-        self._told = time
+        self._set_meta(epoch=self.epoch)
+        execute("COMMIT")
+        self._saved_time = time
 
-    def _set(self, **values: object) -> None:
+    def _set_meta(self, **values: object) -> None:
         for name, value in values.items():
-            self._run("INSERT OR REPLACE INTO meta VALUES (?, ?)", (name, value))
+            self._execute("INSERT OR REPLACE INTO meta VALUES (?, ?)", (name, value))
 
-    def _move_times(self, time: Time) -> None:
-        """After a restart of the machine its clock began anew: times are moved by what the wall clock says.
+    def _shift_times(self, time: Time) -> None:
+        """Convert stored times after a reboot, which restarts the monotonic clock, by the wall clock.
 
-        That clock may have been set back meanwhile.  So nothing that may have run then is taken to be in its
-        window still: taken to be over too early it costs a repeat, too late it would run a job twice.
+        The wall clock may have been set back.  So no attempt that may have run counts as within its window
+        any more: too early an end costs a retry, too late an end would run a job twice.
         """
-        then = dict(self._all("SELECT name, value FROM meta"))
-        if then["boot"] != time.boot:
-            by = time.now - int(then["now"]) - max(0, time.wall - int(then["wall"]))
-            self._run(
+        saved = dict(self._fetch_all("SELECT name, value FROM meta"))
+        if saved["boot"] != time.boot:
+            shift = time.now - int(saved["now"]) - max(0, time.wall - int(saved["wall"]))
+            self._execute(
                 "UPDATE jobs SET came = came + ?1, give_up = give_up + ?1, ended = ended + ?1, "
                 "forget_at = forget_at + ?1",
-                (by,),
+                (shift,),
+            )
+            self._execute(
+                "UPDATE attempts SET sent = ?2, due = due + ?1, until = 0, begun = 0",
+                (shift, SENT_LONG_AGO_US),
             )
-            self._run("UPDATE attempts SET sent = ?2, due = due + ?1, until = 0, begun = 0", (by, LONG_AGO))
-        self._set(boot=time.boot, now=time.now, wall=time.wall)
+        self._set_meta(boot=time.boot, now=time.now, wall=time.wall)
 
     # ---- writing --------------------------------------------------------------------------
 
     def apply(self, batch: Sequence[Record], time: Time) -> dict[int, Found]:
-        """One transaction, on disk when this returns; sqlite3.Error where it is not, or perhaps not.
+        """Commit a batch in one transaction; after a sqlite3.Error it may or may not be on disk.
 
-        Returns, for each accepted job that is none since its key is another's, that other one.
+        Returns, by number of each accepted job that was not stored since its key is in use, the job with
+        that key.
         """
-        run = self._run
+        execute = self._execute
         try:
-            run("BEGIN IMMEDIATE")
-            others = self._accept([r for r in batch if isinstance(r, Accepted) and not r.cancelled])
-            self._rows(
+            execute("BEGIN IMMEDIATE")
+            existing = self._accept([r for r in batch if isinstance(r, Accepted) and not r.cancelled])
+            self._execute_rows(
                 "INSERT OR REPLACE INTO attempts VALUES ",
                 "(?,?,?,?,?,?,?,?,0,0,0)",
                 "",
@@ -228,20 +233,20 @@
                 ],
             )
             last = {r.token: r for r in batch if isinstance(r, Renewed)}
-            self._rows(
+            self._execute_rows(
                 "WITH v(token, until, begun) AS (VALUES ",
                 "(?,?,?)",
                 ") UPDATE attempts SET until = v.until, begun = max(attempts.begun, v.begun) "
                 "FROM v WHERE attempts.token = v.token",
                 [(r.token, r.until, r.begun) for r in last.values()],
             )
-            self._rows(
+            self._execute_rows(
                 "WITH v(token, state) AS (VALUES ",
                 "(?,?)",
                 ") UPDATE attempts SET state = v.state " "FROM v WHERE attempts.token = v.token",
-                [(r.token, int(r.state)) for r in batch if isinstance(r, HandedBack)],
+                [(r.token, int(r.state)) for r in batch if isinstance(r, AttemptFailed)],
             )
-            self._rows(
+            self._execute_rows(
                 "WITH v(number, state, result, token, ended, forget_at, timed_out, crc) AS (VALUES ",
                 "(?,?,?,?,?,?,?,?)",
                 ") UPDATE jobs SET state = v.state, result = v.result, token = "
@@ -263,36 +268,36 @@
                     if isinstance(r, Ended)
                 ],
             )
-            self._rows(
+            self._execute_rows(
                 "WITH v(number, forget_at) AS (VALUES ",
                 "(?,?)",
                 ") UPDATE jobs SET forget_at = "
                 "min(jobs.forget_at, v.forget_at) FROM v WHERE jobs.number = v.number",
                 [(r.number, r.forget_at) for r in batch if isinstance(r, Collected)],
             )
-            if self._told is None or time.now - self._told.now > 1_000_000:
-                self._set(now=time.now, wall=time.wall)
-                self._told = time
-            run("COMMIT")
+            if self._saved_time is None or time.now - self._saved_time.now > 1_000_000:
+                self._set_meta(now=time.now, wall=time.wall)
+                self._saved_time = time
+            execute("COMMIT")
         except BaseException:
             self._roll_back()
             raise
-        return others
+        return existing
 
     def _accept(self, jobs: list[Accepted]) -> dict[int, Found]:
         keyed = {job.key: job for job in jobs if job.key is not None}
-        others: dict[int, Found] = {}
+        existing: dict[int, Found] = {}
         keys = list(keyed)
         for start in range(0, len(keys), 500):
-            part = keys[start : start + 500]
-            marks = ",".join("?" * len(part))
-            for key, *rest in self._all(
-                f"SELECT key, {FOUND_COLUMNS} FROM jobs WHERE key IN ({marks})", part
+            chunk = keys[start : start + 500]
+            placeholders = ",".join("?" * len(chunk))
+            for key, *rest in self._fetch_all(
+                f"SELECT key, {FOUND_COLUMNS} FROM jobs WHERE key IN ({placeholders})", chunk
             ):
-                found = found_job(rest)
-                if keyed[key].number != found.number:  # else this batch is applied for the second time
-                    others[keyed[key].number] = found
-        self._rows(
+                found = decode_found(rest)
+                if keyed[key].number != found.number:  # else the batch is applied again
+                    existing[keyed[key].number] = found
+        self._execute_rows(
             "INSERT OR IGNORE INTO jobs VALUES ",
             "(?,?,?,?,?,?,?,?,?,?,?,?,0,NULL,0,0,NULL,NULL,?)",
             "",
@@ -313,43 +318,43 @@
                     body_crc(job.number, job.subject, job.body),
                 )
                 for job in jobs
-                if job.number not in others
+                if job.number not in existing
             ],
         )
-        return others
+        return existing
 
     def forget(self, now: int) -> int:
-        """Removes ended jobs whose time is over, a part of them at a time; returns how many."""
-        run = self._run
+        """Delete a batch of ended jobs whose retention is over; return how many were deleted."""
+        execute = self._execute
         try:
-            run("BEGIN IMMEDIATE")
+            execute("BEGIN IMMEDIATE")
             numbers = [
                 row[0]
-                for row in self._all(
+                for row in self._fetch_all(
                     "SELECT number FROM jobs WHERE forget_at <= ? ORDER BY forget_at LIMIT ?",
-                    (now, FORGET_AT_ONCE),
+                    (now, FORGET_BATCH_JOBS),
                 )
             ]
-            marks = ",".join("?" * len(numbers))
+            placeholders = ",".join("?" * len(numbers))
             if numbers:
-                run(f"DELETE FROM attempts WHERE job IN ({marks})", numbers)
-                run(f"DELETE FROM jobs WHERE number IN ({marks})", numbers)
-            run("COMMIT")
+                execute(f"DELETE FROM attempts WHERE job IN ({placeholders})", numbers)
+                execute(f"DELETE FROM jobs WHERE number IN ({placeholders})", numbers)
+            execute("COMMIT")
         except BaseException:
             self._roll_back()
             raise
         if numbers:
-            self._all(f"PRAGMA incremental_vacuum({SPACE_PAGES})")
+            self._fetch_all(f"PRAGMA incremental_vacuum({VACUUM_PAGES})")
         return len(numbers)
 
     # ---- reading --------------------------------------------------------------------------
 
     def open_jobs(self, after: int, count: int) -> OpenJobs:
-        """Open jobs with numbers above ``after``, in order."""
+        """Return a batch of open jobs with numbers above ``after``, in order."""
         jobs: dict[int, StoredJob] = {}
         damaged: list[int] = []
         last = 0
-        for row in self._all(
+        for row in self._fetch_all(
             "SELECT number, req_id, tenant, class, key, digest, subject, body, headers, "
             "terms, came, give_up, crc FROM jobs WHERE state = 0 AND number > ? "
             "ORDER BY number LIMIT ?",
@@ -357,37 +362,37 @@
         ):
             last = row[0]
             try:
-                jobs[last] = stored_job(row)
+                jobs[last] = decode_job(row)
             except (ValueError, TypeError, msgspec.MsgspecError):
                 damaged.append(last)
         if jobs:
-            for job, *rest in self._all(
+            for job, *rest in self._fetch_all(
                 "SELECT job, token, number, worker, address, entry, sent, due, until, begun, state FROM "
                 "attempts WHERE job BETWEEN ? AND ? ORDER BY job, number",
                 (min(jobs), max(jobs)),
             ):
-                if job in jobs:  # others in that span have ended
+                if job in jobs:  # other jobs in this range have ended
                     rest[-1] = AttemptState(rest[-1])
                     jobs[job].attempts.append(StoredAttempt(*rest))
         return OpenJobs(list(jobs.values()), damaged, last)
 
     def find(self, number: int) -> Found | None:
-        """A job by its number; StoreError where it is damaged."""
-        rows = self._all(f"SELECT {FOUND_COLUMNS}, crc FROM jobs WHERE number = ?", (number,))
+        """Return a job by its number; StoreError if it is damaged."""
+        rows = self._fetch_all(f"SELECT {FOUND_COLUMNS}, crc FROM jobs WHERE number = ?", (number,))
         if not rows:
             return None
         *rest, crc = rows[0]
-        found = found_job(rest)
+        found = decode_found(rest)
         if found.state is not JobState.OPEN and crc != result_crc(number, found.state, found.result):
             raise StoreError(f"{self.path}: job {number:x} is damaged")
         return found
 
     def find_by_token(self, token: int) -> Found | None:
-        """The job that an attempt was one of."""
-        rows = self._all("SELECT job FROM attempts WHERE token = ?", (token,))
+        """Return the job of an attempt."""
+        rows = self._fetch_all("SELECT job FROM attempts WHERE token = ?", (token,))
         return self.find(rows[0][0]) if rows else None
 
     def usage(self) -> Usage:
         """Return how full the database is."""
-        pages, free = self._one("PRAGMA page_count"), self._one("PRAGMA freelist_count")
-        return Usage((pages - free) * PAGE, free * PAGE)
+        pages, free = self._fetch_value("PRAGMA page_count"), self._fetch_value("PRAGMA freelist_count")
+        return Usage((pages - free) * PAGE_BYTES, free * PAGE_BYTES)
--- a/carthinge/durable/writer.py
+++ b/carthinge/durable/writer.py
@@ -1,4 +1,4 @@
-"""Group commit: one thread that writes down what has come up, and wakes the loop when it is on disk."""
+"""Group commit: one thread writes the queued records and wakes the loop once they are on disk."""
 
 from __future__ import annotations
 
@@ -16,12 +16,14 @@
 from carthinge.durable.store import Store, Time, Usage
 from carthinge.net import log
 
-BATCH: Final = 2000  # records of one transaction at the most: the first of them waits for the last
-CROWD: Final = 16  # records of a batch, from where on the next one is given time to grow:
-GATHER: Final = timedelta(milliseconds=2)  # each one costs the loop a turn, and the thread its statements
-AGAIN_FIRST: Final = timedelta(milliseconds=50)  # after an error, until the same batch is tried again
-AGAIN_MOST: Final = timedelta(seconds=2)
-FORGET_EVERY: Final = timedelta(seconds=1)
+MAX_BATCH_RECORDS: Final = 2000  # per transaction: its first record waits for its last
+# After a batch of this size the next one is given time to grow: each batch costs the loop a turn and the
+# thread its statements.
+LARGE_BATCH_RECORDS: Final = 16
+BATCH_DELAY: Final = timedelta(milliseconds=2)
+MIN_RETRY_DELAY: Final = timedelta(milliseconds=50)  # before a failed batch is retried; doubles each time
+MAX_RETRY_DELAY: Final = timedelta(seconds=2)
+FORGET_INTERVAL: Final = timedelta(seconds=1)
 Done = Callable[[Found | None], None]
 Read = Callable[[Store], object]
 
@@ -29,9 +31,9 @@
 class Writer:
     """The store's only user while the program serves.
 
-    ``write`` and ``ask`` are called from the loop, and what they are given to call is called from the loop
-    again, in the order in which it was written.  A batch that fails is kept and tried again until it is
-    through: the records in it are owed, and nothing after it may be on disk before it.
+    ``write`` and ``read_store`` are called from the loop, and their callbacks run on the loop, in the order
+    of the writes.  A batch that fails is retried until it succeeds: its records must not be lost, and no
+    later one may be on disk before them.
     """
 
     def __init__(
@@ -40,95 +42,95 @@
         clock: Callable[[], Time],
         register: Callable[[socket.socket, Callable[[int], None]], None],
     ) -> None:
-        self.failing = ""  #: the fault while the disk cannot be written, empty while it can
+        self.failing = ""  #: the last error while writing fails, else empty
         self.failures = 0
         self.commits = 0
         self.usage = Usage(0, 0)
         self._store = store
         self._clock = clock
-        self._changed = Condition()
+        self._condition = Condition()
         self._records: deque[tuple[Record, Done | None]] = deque()
         self._reads: deque[tuple[Read, Callable[[object], None]]] = deque()
-        self._done: deque[tuple[Callable[[Any], None], Any]] = deque()
+        self._finished: deque[tuple[Callable[[Any], None], Any]] = deque()
         self._stopping = False
-        self._ended = False  # the thread has begun nothing more and will not
-        self._resting = False  # the thread waits, or is about to
-        self._stuck = 0  # records of a batch that is being written
+        self._exiting = False  # the thread is exiting and takes no more work
+        self._idle = False  # the thread waits for work, or is about to
+        self._in_write = 0  # records in the batch that is being written
         self.wake_in, self._wake_out = socket.socketpair()
         self.wake_in.setblocking(False)
         self._wake_out.setblocking(False)
-        register(self.wake_in, self._woken)
+        register(self.wake_in, self._on_wake)
         self.start()
 
-    # ---- the loop's side ------------------------------------------------------------------
+    # ---- called from the loop -------------------------------------------------------------
 
     @property
     def backlog(self) -> int:
-        """Records that are not on disk yet."""
-        return len(self._records) + self._stuck
+        """Number of records that are not on disk yet."""
+        return len(self._records) + self._in_write
 
-    def write(self, record: Record, done: Done | None = None, soon: bool = True) -> None:
-        """``done`` hears when it is on disk, or of the job that has its key already.
+    def write(self, record: Record, done: Done | None = None, wake: bool = True) -> None:
+        """Queue a record; once on disk, ``done`` is called, with the job that already has its key, if any.
 
-        ``soon`` False: it may ride along with the next one that is.
+        With ``wake`` False the record may wait until the thread wakes for another reason.
         """
         self._records.append((record, done))
-        if soon and self._resting:  # else it looks for more by itself
-            with self._changed:
-                self._changed.notify()
+        if wake and self._idle:  # else it checks for more records anyway
+            with self._condition:
+                self._condition.notify()
 
-    def ask(self, read: Read, done: Callable[[object], None]) -> None:
-        """Reads something; ``done`` hears what ``read`` returned, or the StoreError that it raised."""
-        with self._changed:
+    def read_store(self, read: Read, done: Callable[[object], None]) -> None:
+        """Run ``read`` in the thread; ``done`` gets its result, or the StoreError that it raised."""
+        with self._condition:
             self._reads.append((read, done))
-            self._changed.notify()
+            self._condition.notify()
 
     def start(self) -> None:
-        """Begins to write, in a thread of its own."""
-        self._stopping = self._ended = False
-        self._thread = Thread(target=self._work, name="store", daemon=True)
+        """Start the writing thread."""
+        self._stopping = self._exiting = False
+        self._thread = Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
     def request_stop(self) -> None:
-        """The thread is to write what there is and end; ``stopped`` tells when it has.  Does not block."""
-        with self._changed:
+        """Ask the thread to write pending records and exit (see ``stopped``).  Does not block."""
+        with self._condition:
             self._stopping = True
-            self._changed.notify()
+            self._condition.notify()
 
     def resume(self) -> None:
-        """Goes on after ``request_stop``, whether or not the thread has ended since.
+        """Continue after ``request_stop``, whether or not the thread has exited since.
 
-        It may be in the middle of a call that a sick disk holds: there must not be two threads on one store.
+        The thread may still be blocked in a disk call, and a store must not have two threads.
         """
-        with self._changed:
-            ended = self._ended
+        with self._condition:
+            exiting = self._exiting
             self._stopping = False
-        if ended:
+        if exiting:
             self._thread.join()
             self.start()
 
-    def stop(self, patience: timedelta) -> bool:
-        """Writes what there is and ends the thread; False where the disk would not take it.  Blocks."""
+    def stop(self, timeout: timedelta) -> bool:
+        """Write pending records and end the thread; return False if not all could be written.  Blocks."""
         self.request_stop()
-        self._thread.join(patience.total_seconds())
+        self._thread.join(timeout.total_seconds())
         return self.stopped and not self._records
 
     @property
     def stopped(self) -> bool:
-        """Whether the thread has ended."""
+        """Whether the thread has exited."""
         return not self._thread.is_alive()
 
     @property
     def unwritten(self) -> bool:
-        """Something that was to be written is not on disk."""
+        """Whether records are queued that are not on disk."""
         return bool(self._records)
 
     def close(self) -> None:
-        """Close the sockets that wake the loop; the thread has to have ended."""
+        """Close the sockets that wake the loop; the thread must have exited."""
         self.wake_in.close()
         self._wake_out.close()
 
-    def _woken(self, _: int) -> None:
+    def _on_wake(self, _: int) -> None:
         try:
             while self.wake_in.recv(4096):
                 pass
@@ -137,109 +139,109 @@
         self.deliver()
 
     def deliver(self) -> None:
-        """Makes the calls that are due here."""
-        for _ in range(len(self._done)):
-            call, result = self._done.popleft()
+        """Run the callbacks of finished writes and reads."""
+        for _ in range(len(self._finished)):
+            call, result = self._finished.popleft()
             call(result)
 
-    # ---- the thread's side ----------------------------------------------------------------
+    # ---- run in the thread ----------------------------------------------------------------
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         last_forget = timedelta(microseconds=self._clock().now)
-        self._measure()
+        self._update_usage()
         while True:
-            with self._changed:
-                self._resting = True  # before it looks: a record that comes after that notifies
+            with self._condition:
+                self._idle = True  # set before the check: a record queued after it notifies
                 if not (self._records or self._reads or self._stopping):
-                    self._changed.wait(FORGET_EVERY.total_seconds())
-                self._resting = False
-                batch = [self._records.popleft() for _ in range(min(BATCH, len(self._records)))]
+                    self._condition.wait(FORGET_INTERVAL.total_seconds())
+                self._idle = False
+                batch = [self._records.popleft() for _ in range(min(MAX_BATCH_RECORDS, len(self._records)))]
                 reads, self._reads = self._reads, deque()
-                self._stuck = len(batch)
+                self._in_write = len(batch)
                 stopping = self._stopping and not self._records
             if batch:
                 try:
-                    written = self._write(batch)
-                except Exception as fault:  # a defect: with the thread gone silently, all would wait for ever
+                    written = self._commit(batch)
+                except Exception as fault:  # a defect: if the thread died silently, all would wait for ever
                     log.logger().error("store_broken", why=repr(fault), path=str(self._store.path))
                     self.failing = repr(fault)
                     self.failures += 1
-                    self._put_back(batch)
-                    self._ended = True
+                    self._requeue(batch)
+                    self._exiting = True
                     return
                 if not written:
-                    self._put_back(batch)
+                    self._requeue(batch)
             for read, done in reads:
-                self._read(read, done)
+                self._run_read(read, done)
             now = timedelta(microseconds=self._clock().now)
-            if now >= last_forget + FORGET_EVERY and not stopping:
+            if now >= last_forget + FORGET_INTERVAL and not stopping:
                 last_forget = now
                 self._forget()
-            with self._changed:
-                unwritable = self._records and self.failing
-                if self._stopping and not self._reads and (unwritable or not self._records):
-                    self._ended = True
+            with self._condition:
+                cannot_write = self._records and self.failing
+                if self._stopping and not self._reads and (cannot_write or not self._records):
+                    self._exiting = True
                     return
 
-    def _put_back(self, batch: list[tuple[Record, Done | None]]) -> None:
-        with self._changed:
+    def _requeue(self, batch: list[tuple[Record, Done | None]]) -> None:
+        with self._condition:
             self._records.extendleft(reversed(batch))
-            self._stuck = 0
+            self._in_write = 0
 
-    def _write(self, batch: list[tuple[Record, Done | None]]) -> bool:
-        """False where it is not written and the thread was asked to end."""
-        again = AGAIN_FIRST
+    def _commit(self, batch: list[tuple[Record, Done | None]]) -> bool:
+        """Commit a batch, with retries; False if it is not written and the thread was asked to stop."""
+        retry_delay = MIN_RETRY_DELAY
         while True:
             try:
-                others = self._store.apply([record for record, _ in batch], self._clock())
+                existing = self._store.apply([record for record, _ in batch], self._clock())
                 break
             except sqlite3.Error as fault:
                 if not self.failing:
                     log.logger().error("store_failing", why=str(fault), path=str(self._store.path))
                 self.failing = str(fault)
                 self.failures += 1
-            self._forget()  # there may be room then
-            with self._changed:
-                self._changed.wait_for(lambda: self._stopping, again.total_seconds())
+            self._forget()  # which may free space
+            with self._condition:
+                self._condition.wait_for(lambda: self._stopping, retry_delay.total_seconds())
                 if self._stopping:
                     return False
-            again = min(2 * again, AGAIN_MOST)
+            retry_delay = min(2 * retry_delay, MAX_RETRY_DELAY)
         if self.failing:
             log.logger().info("store_well", path=str(self._store.path))
             self.failing = ""
         self.commits += 1
-        self._stuck = 0
-        self._measure()  # each time: the limit is held against it, and a second can fill a small store
-        if others:
-            self._done.extend(
-                (done, others.get(record.number) if isinstance(record, Accepted) else None)
+        self._in_write = 0
+        self._update_usage()  # each time: admission checks it, and one second can fill a small store
+        if existing:
+            self._finished.extend(
+                (done, existing.get(record.number) if isinstance(record, Accepted) else None)
                 for record, done in batch
                 if done is not None
             )
         else:
-            self._done.extend((done, None) for _, done in batch if done is not None)
+            self._finished.extend((done, None) for _, done in batch if done is not None)
         self._wake()
-        if len(batch) >= CROWD:
-            time.sleep(GATHER.total_seconds())
+        if len(batch) >= LARGE_BATCH_RECORDS:
+            time.sleep(BATCH_DELAY.total_seconds())
         return True
 
-    def _read(self, read: Read, done: Callable[[object], None]) -> None:
+    def _run_read(self, read: Read, done: Callable[[object], None]) -> None:
         try:
             result = read(self._store)
         except (StoreError, sqlite3.Error) as fault:
             result = fault if isinstance(fault, StoreError) else StoreError(f"{self._store.path}: {fault}")
-        self._done.append((done, result))
+        self._finished.append((done, result))
         self._wake()
 
     def _forget(self) -> None:
         try:
             while self._store.forget(self._clock().now) and not self._records:
                 pass
-            self._measure()
+            self._update_usage()
         except sqlite3.Error as fault:
             log.logger().warning("store_not_cleared", why=str(fault))
 
-    def _measure(self) -> None:
+    def _update_usage(self) -> None:
         try:
             self.usage = self._store.usage()
         except sqlite3.Error as fault:
@@ -248,7 +250,7 @@
     def _wake(self) -> None:
         try:
             self._wake_out.send(b"x")
-        except BlockingIOError:  # it has not been woken from the last one yet
+        except BlockingIOError:  # the loop has wake-ups pending
             pass
-        except OSError:  # it has ended
+        except OSError:  # the sockets are closed
             pass
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -12,7 +12,7 @@
 from store_shorthands import accepted
 from world import World, job
 
-from carthinge.durable.handover import CALM_WITHIN, HandOver, take_back
+from carthinge.durable.handover import SEND_TIMEOUT, HandOver, take_back
 from carthinge.net.channel import Incoming
 from carthinge.net.deadlines import ANSWER_MARGIN
 from carthinge.net.loop import MICROSECOND
@@ -53,15 +53,15 @@
     began = time.monotonic()
     HandOver(program.durable, lambda attempt: False, ended.append)
     longest = timedelta(seconds=time.monotonic() - began)
-    until = program.loop.clock.now() + 2 * CALM_WITHIN
+    until = program.loop.clock.now() + 2 * SEND_TIMEOUT
     while not ended:
         began = time.monotonic()
         program.loop.turn(idle=False)
         program.tracker.decide()
         longest = max(longest, timedelta(seconds=time.monotonic() - began))
         let_pass(program, timedelta(milliseconds=5))
-        assert program.loop.clock.now() < until + CALM_WITHIN
-    assert ended == [False] and longest < CALM_WITHIN / 2
+        assert program.loop.clock.now() < until + SEND_TIMEOUT
+    assert ended == [False] and longest < SEND_TIMEOUT / 2
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
     disk.free.set()
     take_back(program.durable, lambda: None)
@@ -78,7 +78,7 @@
     disk.free.set()
     turns(program, lambda: program.durable._postponed)
     assert not program.tracker.tracked_requests
-    program.durable.stay()
+    program.durable.cancel_handover()
     turns(program, lambda: program.tracker.tracked_requests)
     assert reading(client, program)[0].split()[1] == "202"
 
@@ -97,7 +97,7 @@
     program.durable.grant = leaving_first
     turns(program, lambda: program.durable._postponed)
     assert program.counters.attempts == 0
-    program.durable.stay()
+    program.durable.cancel_handover()
     turns(program, lambda: program.counters.attempts)
     assert reading(client, program)[0].split()[1] == "202"
 
@@ -109,7 +109,7 @@
         writer.resume()
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
     heard = []
-    writer.ask(lambda store: store.open_jobs(0, 1), heard.append)
+    writer.read_store(lambda store: store.open_jobs(0, 1), heard.append)
     turns(program, lambda: heard)
 
 
@@ -134,15 +134,15 @@
 
 def test_a_hand_over_waits_until_all_open_jobs_are_read_back(program):
     """Begun before that, it would let go of a store whose jobs it has not seen."""
-    program.durable.reading.loaded = False
+    program.durable.read_back.loaded = False
     ended = []
     HandOver(program.durable, lambda attempt: False, ended.append)
     for _ in range(20):
-        let_pass(program, CALM_WITHIN)
+        let_pass(program, SEND_TIMEOUT)
         program.loop.turn(idle=False)
     assert not ended and program.durable.writer is not None
-    program.durable.reading.loaded = True
-    let_pass(program, CALM_WITHIN)
+    program.durable.read_back.loaded = True
+    let_pass(program, SEND_TIMEOUT)
     turns(program, lambda: ended)
     assert ended == [True] and program.durable.writer is None
 
@@ -198,7 +198,7 @@
     """The hand-over was called off for it, and the new process ended for want of the store."""
     ended, heard, writer = [], [], program.durable.writer
     HandOver(program.durable, lambda attempt: False, ended.append)
-    until = time.monotonic() + CALM_WITHIN.total_seconds()
+    until = time.monotonic() + SEND_TIMEOUT.total_seconds()
     while not writer.stopped:
         assert time.monotonic() < until
     writer.write(accepted(1), heard.append)  # as a worker's call-back does
--- a/tests/test_durable_limits.py
+++ b/tests/test_durable_limits.py
@@ -4,7 +4,7 @@
 
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits, Shed
-from carthinge.durable.recovery import Entrance
+from carthinge.durable.recovery import RecoveryQueue
 
 
 def test_limits_name_what_is_short_and_count_what_is_open():
@@ -12,40 +12,40 @@
         max_open=3, max_open_per_tenant=2, max_open_bytes=100, max_store_bytes=10_000, max_backlog=5
     )
     fine = {"tenant": "a", "size": 10, "backlog": 0, "store_bytes": 0, "failing": False}
-    assert limits.refusal(**fine) is None
-    assert limits.refusal(**{**fine, "failing": True}) is Shed.FAILING
-    assert limits.refusal(**{**fine, "backlog": 5}) is Shed.BACKLOG
-    assert limits.refusal(**{**fine, "store_bytes": 8_500}) is Shed.FULL
-    assert limits.refusal(**{**fine, "size": 101}) is Shed.BYTES
-    limits.enter("a", 10)
-    limits.enter("a", 10)
-    assert limits.refusal(**fine) is Shed.TENANT and limits.refusal(**{**fine, "tenant": "b"}) is None
-    limits.enter("b", 10)
-    assert limits.refusal(**{**fine, "tenant": "c"}) is Shed.OPEN
-    limits.leave("a", 10)
-    assert limits.refusal(**fine) is None and limits.bytes == 20
+    assert limits.shed_reason(**fine) is None
+    assert limits.shed_reason(**{**fine, "failing": True}) is Shed.FAILING
+    assert limits.shed_reason(**{**fine, "backlog": 5}) is Shed.BACKLOG
+    assert limits.shed_reason(**{**fine, "store_bytes": 8_500}) is Shed.FULL
+    assert limits.shed_reason(**{**fine, "size": 101}) is Shed.BYTES
+    limits.add("a", 10)
+    limits.add("a", 10)
+    assert limits.shed_reason(**fine) is Shed.TENANT and limits.shed_reason(**{**fine, "tenant": "b"}) is None
+    limits.add("b", 10)
+    assert limits.shed_reason(**{**fine, "tenant": "c"}) is Shed.OPEN
+    limits.remove("a", 10)
+    assert limits.shed_reason(**fine) is None and limits.bytes == 20
 
 
 def test_recovered_jobs_enter_at_their_pace_and_those_whose_time_is_over_at_once():
-    entrance = Entrance(per_s=100)
+    queue = RecoveryQueue(per_s=100)
     for job in range(50):
-        entrance.park(job, timedelta(seconds=1000))
-    entrance.park("late", timedelta(seconds=1))
-    assert entrance.enter(timedelta(seconds=0)) == []
+        queue.add(job, timedelta(seconds=1000))
+    queue.add("late", timedelta(seconds=1))
+    assert queue.pop_due(timedelta(seconds=0)) == []
     entered, now = [], timedelta()
     while now < timedelta(milliseconds=300):
-        due = entrance.due(now)
+        due = queue.next_due(now)
         assert now < due <= now + timedelta(milliseconds=20)
         now = due
-        entered += entrance.enter(now)
+        entered += queue.pop_due(now)
     assert 28 <= len(entered) <= 32 and entered == list(range(len(entered)))
-    assert entrance.drop(40) and not entrance.drop(40)
-    at_its_end = entrance.enter(timedelta(seconds=1))
+    assert queue.remove(40) and not queue.remove(40)
+    at_its_end = queue.pop_due(timedelta(seconds=1))
     assert at_its_end[0] == "late"
     entered += at_its_end[1:]
-    while len(entrance):
-        entered += entrance.enter(now := entrance.due(now))
-    assert set(entered) == set(range(50)) - {40} and entrance.due(now) is None
+    while len(queue):
+        entered += queue.pop_due(now := queue.next_due(now))
+    assert set(entered) == set(range(50)) - {40} and queue.next_due(now) is None
 
 
 def test_names_of_jobs_cannot_be_made_up():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -54,8 +54,8 @@
         store.apply([accepted(step + 1)], at(step))
     folder = tmp_path / "store"
     log = bytearray((folder / "jobs.db-wal").read_bytes())
-    verdict = examine(bytes(log))
-    assert verdict.commits >= 4 and not verdict.damaged
+    frames = examine(bytes(log))
+    assert frames.valid_commits >= 4 and not frames.damaged
     copies = {}
     for name, place in (("torn", len(log) - 100), ("damaged", len(log) // 2)):
         copies[name] = tmp_path / name
@@ -132,8 +132,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_what_is_written_on_a_failing_disk_is_there_once_and_in_order(tmp_path, seed, monkeypatch):
-    monkeypatch.setattr("carthinge.durable.writer.BATCH", 7)
-    monkeypatch.setattr("carthinge.durable.writer.AGAIN_FIRST", timedelta(milliseconds=1))
+    monkeypatch.setattr("carthinge.durable.writer.MAX_BATCH_RECORDS", 7)
+    monkeypatch.setattr("carthinge.durable.writer.MIN_RETRY_DELAY", timedelta(milliseconds=1))
 
     def faulty(path):
         return sqlite3.connect(path, isolation_level=None, check_same_thread=False, factory=Faulty)
--- a/tests/test_store_batches.py
+++ b/tests/test_store_batches.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from store_shorthands import accepted, at, ended, granted, opened
 
-from carthinge.durable.records import AttemptState, Collected, HandedBack, JobState, Renewed
+from carthinge.durable.records import AttemptFailed, AttemptState, Collected, JobState, Renewed
 
 
 class StoreMachine(RuleBasedStateMachine):
@@ -55,7 +55,7 @@
         state = data.draw(st.sampled_from(AttemptState))
         batch = [granted(token, job), Renewed(token, 77, 5)]
         if state is not AttemptState.OUT:
-            batch.append(HandedBack(token, state))
+            batch.append(AttemptFailed(token, state))
         self.apply(batch, twice)
         self.attempts[token] = (job, state)
 
