--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -16,9 +16,7 @@
 from carthinge.durable.writer import Writer
 from carthinge.net.tracked_request import Attempt
 
-SEND_TIMEOUT: Final = timedelta(
-    milliseconds=500
-)  # for attempts being sent; after it they count as perhaps sent
+SEND_TIMEOUT: Final = timedelta(milliseconds=500)  # after it, attempts being sent count as perhaps sent
 WRITE_TIMEOUT: Final = timedelta(seconds=1.2)  # after that; the other process waits for 2 s in all
 POLL_INTERVAL: Final = timedelta(milliseconds=10)
 REOPEN_TIMEOUT: Final = timedelta(seconds=5)  # a process that is being killed holds the store a moment longer
--- a/carthinge/durable/job_names.py
+++ b/carthinge/durable/job_names.py
@@ -35,9 +35,8 @@
 
 
 def _digest(*parts: bytes) -> bytes:
-    lengths = b"".join(
-        [len(part).to_bytes(4, "big") for part in parts]
-    )  # so that different lists never have the same encoding
+    # The lengths keep different lists from having the same encoding.
+    lengths = b"".join([len(part).to_bytes(4, "big") for part in parts])
     return blake2b(lengths + b"".join(parts), digest_size=16).digest()
 
 
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -275,9 +275,8 @@
 
     def attempt_ended(self, durable_job: Held, attempt: Attempt, result: io.Result) -> None:
         """Record the end of an attempt, and which attempt provides the result."""
-        if (
-            result is io.Result.OK and durable_job.ending is None
-        ):  # the first of two hedged attempts to end provides the result
+        # The first of two hedged attempts to end provides the result.
+        if result is io.Result.OK and durable_job.ending is None:
             durable_job.result_token = attempt.token
         self.attempt_leases.end(self.writer, attempt, result)
 
--- a/tests/durable_world.py
+++ b/tests/durable_world.py
@@ -1,4 +1,4 @@
-"""Shorthands for tests of durable jobs: the operator's file, jobs handed in and accepted, a disk at rest."""
+"""Helpers for tests of durable jobs: the operator's file, submitting and accepting jobs, a blocked store."""
 
 import json
 import sqlite3
@@ -15,7 +15,7 @@
 
 
 def put(world, req_id, key="k1", prefer="respond-async", client=None, **more):
-    """Hands a job in; with ``prefer`` its name is returned once it is taken on."""
+    """Submit a job; with ``prefer`` wait until it is accepted and return its path, else return the client."""
     headers = {"Idempotency_Key": key, "Prefer": prefer, "kind": "reindex", "deadline": "9000m", **more}
     headers = {name: value for name, value in headers.items() if value is not None}
     peer = (client or world.connect()).send(job(req_id, **headers))
@@ -33,9 +33,9 @@
 
 
 def take_job(world):
-    """The next job that comes to a worker: its worker, the connection and the headers.
+    """Return the next job sent to a worker: the worker's number, the connection and the headers.
 
-    Where a start or a commit outlasts a lease, the scheduler withdraws the attempt: that DELETE is answered.
+    If a start or a commit outlasts a lease, the scheduler withdraws the attempt: that DELETE is answered.
     """
     number, peer, (line, headers, _) = world.take()
     while line.startswith("DELETE /jobs/"):
@@ -46,7 +46,7 @@
 
 
 def accept(world, takes_part=True):
-    """The next job that comes to a worker, accepted: its worker, its id and its token."""
+    """Accept the next job sent to a worker; return the worker's number, the job's id and its token."""
     number, peer, headers = take_job(world)
     token = int(headers["lease-token"])
     peer.answer(202, **({"Lease_Token": token} if takes_part else {}))
@@ -55,7 +55,7 @@
 
 
 def locked(world):
-    """Somebody else writes to the store, as a disk that stands still would have it."""
+    """Hold a write transaction on the store, so that its commits fail as on a blocked disk."""
     database = sqlite3.connect(world.store / "jobs.db", isolation_level=None)
     database.execute("BEGIN IMMEDIATE")
     return database
--- a/tests/store_shorthands.py
+++ b/tests/store_shorthands.py
@@ -1,4 +1,4 @@
-"""Shorthands for tests of the store: records of each kind, and a store that is open."""
+"""Helpers for tests of the store: records of each kind, and an open store."""
 
 import msgspec
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Durable jobs as clients and workers see them, and leases."""
+"""Durable jobs as seen by clients and workers, and leases."""
 
 import time
 
@@ -8,10 +8,10 @@
 OPERATOR_FILE = FILE  # of the fixture `world`
 
 
-# ---- the client's side --------------------------------------------------------------------------
+# ---- clients ------------------------------------------------------------------------------------
 
 
-def test_a_job_is_taken_on_at_once_and_its_result_is_asked_for_later(world):
+def test_async_job_result_is_polled(world):
     path = put(world, "a1")
     assert get(world, path, prefer="")[0] == 202
     number, req_id, token = accept(world)
@@ -21,7 +21,7 @@
     assert world.metrics()["durable"]["open"] == 0
 
 
-def test_who_waits_for_a_job_hears_of_its_end_and_not_before(world):
+def test_waiting_get_is_answered_at_job_end(world):
     path = put(world, "a1")
     waiting = world.connect().send(f"GET {path} HTTP/1.1\r\nHost: x\r\nPrefer: wait=9\r\n\r\n".encode())
     short = get(world, path, prefer="wait=0")
@@ -30,7 +30,7 @@
     assert short[0] == 202 and waiting.read()[2] == b"r"
 
 
-def test_a_job_posted_the_ordinary_way_is_answered_in_place(world):
+def test_job_without_prefer_is_answered_in_place(world):
     client = put(world, "a1", prefer=None)
     number, req_id, _ = accept(world)
     world.tell(req_id, "done", number, result="r")
@@ -38,7 +38,7 @@
     assert first == "HTTP/1.1 200 OK" and body == b"r"
 
 
-def test_the_same_key_joins_the_job_while_it_is_open_and_gets_its_result_after_it(world):
+def test_same_key_joins_job_or_gets_result(world):
     first = put(world, "a1", prefer=None)
     number, req_id, _ = accept(world)
     second = put(world, "a2", prefer=None)
@@ -50,7 +50,7 @@
     assert world.counters()["attempts_written"] == 1
 
 
-def test_the_same_key_with_another_body_is_422_open_or_ended(world):
+def test_same_key_with_other_body_is_422(world):
     put(world, "a1")
     assert put(world, "a2", prefer=None, body=b"other").status() == 422
     number, req_id, _ = accept(world)
@@ -58,33 +58,33 @@
     assert put(world, "a3", prefer=None, body=b"other").status() == 422
 
 
-def test_a_preference_to_wait_gets_the_result_if_it_comes_in_time(world):
+def test_async_with_wait_gets_result_in_time(world):
     client = put(world, "a1", prefer=None, Prefer="respond-async, wait=9")
     number, req_id, _ = accept(world)
     world.tell(req_id, "done", number, result="r")
     assert client.read()[2] == b"r"
 
 
-def test_a_call_that_is_turned_away_does_not_keep_the_program_from_ending(world):
+def test_rejected_call_does_not_block_exit(world):
     assert get(world, "/v1/jobs/5-00", "PUT")[0] == 405
     world.terminate()
     assert world.process.wait(8) == 0
 
 
-def test_keys_hold_for_their_tenant_and_class(world):
+def test_keys_are_scoped_to_tenant_and_class(world):
     put(world, "a1")
     put(world, "a2", kind="charge")
     assert {accept(world)[1], accept(world)[1]} == {"a1", "a2"}
 
 
-def test_names_that_were_never_given_out_are_404(world):
+def test_unissued_job_names_are_404(world):
     path = put(world, "a1")
     assert get(world, "/v1/jobs/5-00112233445566778899aabb")[0] == 404
     assert get(world, path[:-1] + ("0" if path[-1] != "0" else "1"))[0] == 404
     assert get(world, "/v1/jobs/nonsense")[0] == 404
 
 
-def test_results_are_forgotten_after_their_time(tmp_path):
+def test_results_are_deleted_after_retention(tmp_path):
     with World(tmp_path, file=FILE.replace("[leases]", "keep_results = 1\n[leases]")) as world:
         path = put(world, "a1")
         number, req_id, _ = accept(world)
@@ -92,11 +92,11 @@
         until = time.monotonic() + 8
         while (status := get(world, path)[0]) == 200:
             assert time.monotonic() < until
-            time.sleep(0.05)  # nothing tells that it is forgotten but the answer itself
+            time.sleep(0.05)  # polls: only the answer shows that it is deleted
         assert status == 410
 
 
-def test_a_job_that_is_given_up_is_called_off_at_its_worker(world):
+def test_given_up_job_is_withdrawn_from_worker(world):
     path = put(world, "a1")
     accept(world)
     assert get(world, path, "DELETE")[0] == 204
@@ -108,7 +108,7 @@
     assert get(world, path)[0] == 410
 
 
-def test_an_ended_job_cannot_be_given_up_and_other_methods_are_405(world):
+def test_deleting_ended_job_is_409_and_put_405(world):
     path = put(world, "a1")
     number, req_id, _ = accept(world)
     world.tell(req_id, "done", number, result="r")
@@ -116,14 +116,14 @@
     assert get(world, path, "PUT")[0] == 405
 
 
-def test_a_client_that_leaves_does_not_end_its_job(world):
+def test_client_disconnect_does_not_end_job(world):
     put(world, "a1", prefer=None).close()
     number, req_id, _ = accept(world)
     world.tell(req_id, "done", number, result="r")
     assert put(world, "a2", prefer=None).read()[2] == b"r"
 
 
-def test_one_that_joins_with_less_time_is_answered_in_it(world):
+def test_joining_client_is_answered_by_its_deadline(world):
     put(world, "a1")
     accept(world)
     began = time.monotonic()
@@ -131,7 +131,7 @@
     assert time.monotonic() - began < 0.31
 
 
-def test_jobs_of_other_classes_are_as_ever_whatever_they_prefer(world):
+def test_prefer_is_ignored_for_other_classes(world):
     client = world.submit("a1", Prefer="respond-async")
     number, peer, (_, headers, _) = world.take()
     assert "lease-token" not in headers
@@ -140,7 +140,7 @@
     assert client.status() == 200
 
 
-def test_more_than_may_be_open_is_shed_at_once_and_the_key_is_free_again(tmp_path):
+def test_job_over_open_limit_is_shed_and_key_freed(tmp_path):
     file = FILE.replace("[leases]", "max_open = 3\nmax_open_per_tenant = 2\n[leases]")
     with World(tmp_path, file=file, workers=2) as world:
         put(world, "a1")
@@ -156,12 +156,12 @@
 # ---- leases -------------------------------------------------------------------------------------
 
 
-def test_a_lease_that_is_not_renewed_ends_and_the_job_goes_elsewhere(world):
+def test_expired_lease_moves_job_to_other_worker(world):
     path = put(world, "a1")
     first, req_id, token = accept(world)
-    line = world.take()
-    assert line[0] == first and line[2][0].startswith("DELETE /jobs/a1")
-    line[1].answer(200)
+    withdrawal = world.take()
+    assert withdrawal[0] == first and withdrawal[2][0].startswith("DELETE /jobs/a1")
+    withdrawal[1].answer(200)
     second, _, later = accept(world)
     assert second != first and later > token
     assert world.tell(req_id, "done", first, result="late", token=token) == 409
@@ -172,31 +172,32 @@
     assert figures["leases_expired"] == 1 and figures["stale_calls"] == 2
 
 
-def test_heartbeats_keep_a_lease(world):
+def test_heartbeats_renew_lease(world):
     path = put(world, "a1")
     number, req_id, token = accept(world)
-    until = time.monotonic() + 1.2  # three times its duration
+    until = time.monotonic() + 1.2  # three times the lease duration
     while time.monotonic() < until:
         assert world.tell(req_id, "heartbeat", number, token=token) == 204
-        time.sleep(0.1)  # a worker's own pace
+        time.sleep(0.1)  # the worker's heartbeat interval
     assert world.tell(req_id, "done", number, result="r", token=token) == 204
     assert get(world, path)[1] == b"r" and world.metrics()["durable"]["leases_expired"] == 0
 
 
-def test_a_late_result_is_taken_while_nobody_has_the_job(tmp_path):
-    patience = {"objective": 60_000_000, "hard_limit": 600_000_000}
-    patient = [{**service, **patience} for service in SETTINGS["services"]]
-    with World(tmp_path, file=FILE, workers=2, settings={**SETTINGS, "services": patient}) as world:
+def test_late_result_counts_while_no_attempt_is_open(tmp_path):
+    long_limits = {"objective": 60_000_000, "hard_limit": 600_000_000}
+    patient_services = [{**service, **long_limits} for service in SETTINGS["services"]]
+    with World(tmp_path, file=FILE, workers=2, settings={**SETTINGS, "services": patient_services}) as world:
         paths = [put(world, f"a{step}", key=f"k{step}", deadline="300000m") for step in range(8)]
-        taken = [world.take() for _ in paths]  # both workers are full, and no silence is too long
+        # Both workers are full, and the long objective keeps silent attempts open.
+        taken = [world.take() for _ in paths]
         number, peer, (_, headers, _) = taken[0]
         late, token = headers["req-id"], int(headers["lease-token"])
-        for worker, other, (_, told, _) in taken[1:]:
+        for worker, other, (_, other_headers, _) in taken[1:]:
             other.answer(202)
-            assert world.tell(told["req-id"], "started", worker) == 204
+            assert world.tell(other_headers["req-id"], "started", worker) == 204
         peer.answer(202, Lease_Token=token)
         _, peer, (line, _, _) = world.take()
-        assert line.startswith(f"DELETE /jobs/{late} ")  # its lease has run out
+        assert line.startswith(f"DELETE /jobs/{late} ")  # its lease has expired
         peer.answer(200)
         world.wait_for_log(f"attempt_ended id={late} ")
         assert world.tell(late, "done", number, result="late", token=token) == 204
@@ -204,9 +205,9 @@
         assert world.metrics()["durable"]["late_results"] == 1
 
 
-def test_workers_that_know_nothing_of_leases_keep_their_jobs(world):
+def test_workers_without_leases_keep_their_jobs(world):
     path = put(world, "a1")
     number, req_id, _ = accept(world, takes_part=False)
-    assert get(world, path, prefer="wait=1")[0] == 202  # more than twice the duration
+    assert get(world, path, prefer="wait=1")[0] == 202  # more than twice the lease duration
     assert world.tell(req_id, "done", number, result="r") == 204
     assert get(world, path)[1] == b"r"
--- a/tests/test_durable_crashes.py
+++ b/tests/test_durable_crashes.py
@@ -1,4 +1,4 @@
-"""Durable jobs through a scheduler that is killed, or ends, at any point."""
+"""Durable jobs when the scheduler is killed or ends at various points."""
 
 import contextlib
 import sqlite3
@@ -22,7 +22,7 @@
 # ---- crashes ------------------------------------------------------------------------------------
 
 
-def test_a_job_that_was_sent_survives_and_its_call_back_is_taken(world):
+def test_sent_job_survives_crash(world):
     path = put(world, "a1")
     number, req_id, token = accept(world)
     world.kill()
@@ -33,9 +33,10 @@
     assert world.counters()["attempts_written"] == 0
 
 
-def test_a_job_that_waited_survives_and_is_sent(tmp_path):
+def test_waiting_job_survives_crash_and_is_sent(tmp_path):
     with World(tmp_path, workers=1, file=FILE.replace("0.4", "5")) as world:
-        paths = [put(world, f"a{step}", key=f"k{step}") for step in range(5)]  # the worker gets four at first
+        # The worker's initial limit is four.
+        paths = [put(world, f"a{step}", key=f"k{step}") for step in range(5)]
         out = [accept(world) for _ in range(4)]
         world.kill()
         world.restart()
@@ -48,7 +49,7 @@
         assert [get(world, path)[1] for path in paths] == [f"a{step}".encode() for step in range(5)]
 
 
-def test_the_same_key_after_a_crash_finds_the_job_and_then_its_result(world):
+def test_same_key_finds_job_and_result_after_crash(world):
     client = put(world, "a1", prefer=None)
     number, req_id, token = accept(world)
     world.kill()
@@ -61,23 +62,24 @@
     world.kill()
     world.restart()
     assert put(world, "a3", prefer=None).read()[2] == b"r"
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204  # its worker heard nothing
+    # The worker got no answer and repeats its callback.
+    assert world.tell(req_id, "done", number, result="r", token=token) == 204
     assert world.tell(req_id, "done", number, result="x", token=token + 1) == 409
     assert world.counters()["attempts_written"] == 0
 
 
-def test_a_deadline_that_passes_while_it_is_down_gets_one_failed_answer(world):
+def test_deadline_passed_while_down_fails_once(world):
     path = put(world, "a1", deadline="700m")
     accept(world)
     world.kill()
-    time.sleep(0.8)  # the deadline itself
+    time.sleep(0.8)  # past the deadline
     world.restart()
     status = get(world, path)[0]
     assert status in (503, 504) and get(world, path)[0] == status
     assert put(world, "a2", prefer="respond-async")
 
 
-def test_a_token_is_never_used_twice(world):
+def test_tokens_are_unique_across_crashes(world):
     tokens = set()
     for step in range(4):
         put(world, f"a{step}", key=f"k{step}")
@@ -87,19 +89,19 @@
     assert len(tokens) == 4
 
 
-def test_an_unsafe_job_that_may_have_run_is_not_run_again(world):
+def test_unsafe_job_is_not_rerun_after_crash(world):
     path = put(world, "a1", kind="charge", deadline="3000m")
     accept(world)
     world.kill()
     world.restart()
-    assert get(world, path)[0] in (502, 504)  # the former where it is known that its worker takes part
+    assert get(world, path)[0] in (502, 504)  # 502 if its worker is known to take part in leases
     assert world.counters()["attempts_written"] == 0
 
 
-# ---- an ordinary end ------------------------------------------------------------------------------
+# ---- orderly shutdown -----------------------------------------------------------------------------
 
 
-def test_at_sigterm_those_who_wait_are_told_where_the_job_can_be_asked_for(world):
+def test_sigterm_gives_waiting_clients_a_location(world):
     client = put(world, "a1", prefer=None)
     number, req_id, token = accept(world)
     served = threading.Event()
@@ -125,8 +127,8 @@
 # ---- crashes at named points ----------------------------------------------------------------------
 
 
-def write_down(world, *batch):
-    """What a scheduler that has died had written last."""
+def append_records(world, *batch):
+    """Apply records to the store, as if the killed scheduler had written them last."""
     now = time.monotonic_ns() // 1000 + 86_400_000_000
     moment = Time(now, time.time_ns() // 1000, Path("/proc/sys/kernel/random/boot_id").read_text().strip())
     store = Store(world.store, 1 << 30)
@@ -137,7 +139,7 @@
 
 
 def granted(world, req_id, worker):
-    """A grant of that job to that worker, of which nothing was sent."""
+    """Return a grant of the job to the worker, of which nothing was sent."""
     entry = msgspec.msgpack.encode(io.WorkerEntry(number_of(world.names[worker])))
     address = f"127.0.0.1:{world.workers[worker].port}"
     return lambda jobs, now: Granted(
@@ -145,9 +147,9 @@
     )
 
 
-def waiting(world, kind, deadline="9000m"):
-    """A job that waits for a worker, of a scheduler that is killed then: its name."""
-    for step in range(8):  # as many as two workers get at first
+def kill_with_waiting_job(world, kind, deadline="9000m"):
+    """Submit a job that waits for a worker and kill the scheduler; return the job's path."""
+    for step in range(8):  # the initial limit of two workers
         put(world, f"b{step}", key=f"b{step}")
         accept(world)
     path = put(world, "a1", kind=kind, deadline=deadline)
@@ -155,36 +157,37 @@
     return path
 
 
-def test_a_crash_between_recording_and_sending_counts_as_sent(world):
-    path = waiting(world, "charge", deadline="3000m")
-    write_down(world, granted(world, "a1", 0))
+def test_crash_between_grant_and_send_counts_as_sent(world):
+    path = kill_with_waiting_job(world, "charge", deadline="3000m")
+    append_records(world, granted(world, "a1", 0))
     world.restart()
-    assert get(world, path)[0] == 504  # the class forbids a repeat, and nothing tells that it was not sent
+    assert get(world, path)[0] == 504  # the class forbids a retry, and it may have been sent
     with contextlib.closing(sqlite3.connect(world.store / "jobs.db")) as database:
         assert database.execute(
             "SELECT count(*) FROM attempts WHERE job = " "(SELECT number FROM jobs WHERE req_id = 'a1')"
         ).fetchone() == (1,)
 
 
-def test_a_crash_between_recording_and_sending_a_keyed_job_has_it_sent_elsewhere(tmp_path):
+def test_crash_after_grant_of_keyed_job_sends_it_elsewhere(tmp_path):
     with World(tmp_path, workers=2, file=FILE.replace("0.4", "5")) as world:
-        path = waiting(world, "reindex")
-        write_down(world, granted(world, "a1", 0))
+        path = kill_with_waiting_job(world, "reindex")
+        append_records(world, granted(world, "a1", 0))
         world.restart()
         line, headers = "", {}
-        while not (line.startswith("POST") and headers["req-id"] == "a1"):  # others are moved, too
+        while not (line.startswith("POST") and headers["req-id"] == "a1"):  # other jobs move as well
             number, peer, (line, headers, _) = world.take()
             peer.answer(202)
-            if line.startswith("POST") and headers["req-id"] != "a1":  # one at a time: its cap has fallen
+            # The worker's limit has fallen to one job at a time.
+            if line.startswith("POST") and headers["req-id"] != "a1":
                 world.tell(headers["req-id"], "done", number, result="r", token=int(headers["lease-token"]))
         assert number == 1
         assert world.tell("a1", "done", 1, result="r", token=int(headers["lease-token"])) == 204
         assert get(world, path)[1] == b"r"
 
 
-def test_a_crash_between_sending_and_the_202_waits_for_the_worker(world):
+def test_crash_before_202_waits_for_worker(world):
     client = put(world, "a1", prefer=None)
-    number, _, (_, headers, _) = world.take()  # and no 202
+    number, _, (_, headers, _) = world.take()  # without a 202
     world.kill()
     client.close()
     world.restart()
@@ -194,12 +197,12 @@
     assert world.counters()["attempts_written"] == 0
 
 
-def test_a_crash_between_recording_a_result_and_telling_it(world):
+def test_crash_between_recording_and_reporting_result(world):
     client = put(world, "a1", prefer=None)
     number, req_id, token = accept(world)
     world.kill()
     client.close()
-    write_down(world, lambda jobs, now: Ended(jobs["a1"], JobState.SERVED, b"r", token, now, now + 10**8))
+    append_records(world, lambda jobs, now: Ended(jobs["a1"], JobState.SERVED, b"r", token, now, now + 10**8))
     world.restart()
     assert world.tell(req_id, "done", number, result="r", token=token) == 204
     assert put(world, "a2", prefer=None).read()[2] == b"r"
--- a/tests/test_durable_disk.py
+++ b/tests/test_durable_disk.py
@@ -1,4 +1,4 @@
-"""Durable jobs on a disk that lags, is full, stands still, or holds something else."""
+"""Durable jobs on a disk that is slow, full or blocked, and with a damaged store."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 # ---- the store ----------------------------------------------------------------------------------
 
 
-def test_two_processes_cannot_have_one_store(world, tmp_path):
+def test_two_processes_cannot_open_one_store(world, tmp_path):
     other = world.start(
         TMPDIR=str(tmp_path / "elsewhere"),
         RELAY_LISTEN=f"{HOST}:{free_port()}",
@@ -28,15 +28,15 @@
 
 
 @pytest.mark.parametrize("column", ["body", "headers", "terms"])
-def test_an_open_job_that_is_damaged_is_named_and_keeps_no_other_from_being_served(world, column):
-    """The whole scheduler did not start until its store was mended: all other open jobs were late."""
-    damaged, whole = put(world, "a1"), put(world, "a2", key="k2")
+def test_damaged_job_does_not_block_others(world, column):
+    """The scheduler did not start until the damaged record was repaired, so all open jobs were late."""
+    damaged, intact = put(world, "a1"), put(world, "a2", key="k2")
     world.kill()
     with contextlib.closing(sqlite3.connect(world.store / "jobs.db", isolation_level=None)) as database:
         database.execute(f"UPDATE jobs SET {column} = x'c1' WHERE req_id = 'a1'")
     world.restart()
     accept_and_end(world, "a2")
-    assert get(world, whole)[0] == 200
+    assert get(world, intact)[0] == 200
     status, body, _ = get(world, damaged)
     assert (status, body) == (500, b"the record of the job is damaged\n")
     assert world.metrics()["durable"]["damaged"] == 1 and "job_damaged" in world.log()
@@ -45,11 +45,11 @@
     world.kill()
     with contextlib.closing(sqlite3.connect(world.store / "jobs.db", isolation_level=None)) as database:
         (kept,) = database.execute("SELECT state FROM jobs WHERE req_id = 'a1'").fetchone()
-    assert kept == 0, "it stays as it is, for whoever mends it"
+    assert kept == 0, "the damaged record must stay as it is, for repair"
 
 
 def accept_and_end(world, req_id):
-    """Whatever worker it comes to serves it; attempts from before a kill may be repeated."""
+    """Serve jobs until this one, at any worker; attempts from before a kill may be retried first."""
     while True:
         number, taken, token = accept(world)
         assert world.tell(taken, "done", number, token=token, result="r") in (204, 409)
@@ -57,7 +57,7 @@
             return
 
 
-def test_a_store_that_cannot_be_read_is_named_and_nothing_is_served(world):
+def test_unreadable_store_prevents_start(world):
     put(world, "a1")
     world.kill()
     for path in world.store.glob("jobs.db*"):
@@ -66,11 +66,11 @@
     assert process.wait(10) == 4 and "jobs.db" in world.log()
 
 
-# ---- a disk that lags, is full, or stands still ---------------------------------------------------
+# ---- a slow, full or blocked disk -----------------------------------------------------------------
 
 
-def test_while_the_disk_stands_still_durable_jobs_are_shed_and_others_go_on(world):
-    stuck = locked(world)
+def test_blocked_disk_sheds_only_durable_jobs(world):
+    blocker = locked(world)
     began = time.monotonic()
     first, headers, _ = put(world, "a1", prefer=None).read()
     assert first.split()[1] == "503" and "retry-after" in headers and time.monotonic() - began < 1.5
@@ -82,9 +82,9 @@
     world.wait_for_log("store_failing")
     assert world.metrics()["durable"]["failing"]
     assert put(world, "a2", key="k2", prefer=None).status() == 503
-    stuck.rollback()
+    blocker.rollback()
     world.wait_for_log("store_well")
-    path = put(world, "a3")  # its key is free, since what was shed is not run
+    path = put(world, "a3")  # its key is free, since a shed job is not run
     number, req_id, _ = accept(world)
     assert req_id == "a3"
     world.tell(req_id, "done", number, result="r")
@@ -92,10 +92,10 @@
     assert world.counters()["attempts_written"] == 2
 
 
-def test_a_crash_between_a_result_and_its_record_takes_the_call_back_again(world):
+def test_crash_before_result_is_recorded_accepts_callback_again(world):
     path = put(world, "a1")
     number, req_id, token = accept(world)
-    stuck = locked(world)
+    blocker = locked(world)
     body = json.dumps(
         {"id": req_id, "from": world.names[number], "state": "done", "result": "r", "token": token}
     ).encode()
@@ -103,19 +103,19 @@
     caller.send(b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     world.wait_for_log("store_failing")
     world.kill()
-    assert caller.ended()  # it was not told that its call had come
-    stuck.rollback()
-    stuck.close()
+    assert caller.ended()  # the callback was not answered
+    blocker.rollback()
+    blocker.close()
     world.restart()
     assert get(world, path, prefer="")[0] == 202
     assert world.tell(req_id, "done", number, result="r", token=token) == 204
     assert get(world, path)[1] == b"r"
 
 
-def test_a_result_is_told_at_the_deadline_though_the_disk_stands_still(world):
+def test_blocked_disk_does_not_delay_result_past_deadline(world):
     client = put(world, "a1", prefer=None, deadline="1500m")
     number, req_id, _ = accept(world, takes_part=False)
-    stuck = locked(world)
+    blocker = locked(world)
     began = time.monotonic()
     body = json.dumps({"id": req_id, "from": world.names[number], "state": "done", "result": "r"}).encode()
     world.connect().send(
@@ -123,10 +123,10 @@
     )
     first, _, answer = client.read()
     assert (first.split()[1], answer) == ("200", b"r") and time.monotonic() - began < 1.6
-    stuck.rollback()
+    blocker.rollback()
 
 
-def test_a_full_store_sheds_and_takes_jobs_again_when_there_is_room(tmp_path):
+def test_full_store_sheds_until_space_is_free(tmp_path):
     small = "max_store_bytes = 1048576\nkeep_results = 1\nkeep_collected = 0\n[leases]"
     file = FILE.replace("[leases]", small)
     with World(tmp_path, workers=2, file=file) as world:
@@ -169,18 +169,18 @@
             .status()
         ) != 202:
             assert status == 503 and time.monotonic() < until
-            time.sleep(0.05)  # nothing tells that there is room but the answer itself
+            time.sleep(0.05)  # polls: only the answer shows that there is space
 
 
 @pytest.mark.parametrize("after", [0.0, 0.05, 0.15, 0.3])
-def test_compacting_may_be_killed_at_any_time(world, after):
+def test_killed_compaction_keeps_the_store(world, after):
     path = put(world, "a1")
     number, req_id, token = accept(world, takes_part=False)
     world.kill()
     compacting = subprocess.Popen(
         [sys.executable, "-m", "carthinge", "store", "compact", str(world.store)], stdout=subprocess.DEVNULL
     )
-    time.sleep(after)  # the point at which it is killed
+    time.sleep(after)  # kills it at different points
     compacting.kill()
     compacting.wait()
     checked = subprocess.run(
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -1,4 +1,4 @@
-"""The store changes hands on a disk that is sick, or while requests are half read: the loop is never held."""
+"""Handover of the store on a slow disk and with half-read requests; the loop must not block."""
 
 import socket
 import threading
@@ -20,16 +20,16 @@
 ASYNC = {"kind": "reindex", "deadline": "9000m", "Idempotency_Key": "k1", "Prefer": "respond-async"}
 
 
-class SickDisk:
-    """Transactions stand still from a test's word on, and fail or go through at another."""
+class BlockedDisk:
+    """Blocks transactions of a store until the test releases them."""
 
     def __init__(self, store):
-        self.apply, self.free, self.entered = store.apply, threading.Event(), threading.Event()
+        self.apply, self.released, self.entered = store.apply, threading.Event(), threading.Event()
         store.apply = self
 
     def __call__(self, batch, time):
         self.entered.set()
-        assert self.free.wait(30), "the test did not let the disk go"
+        assert self.released.wait(30), "the test did not release the disk"
         return self.apply(batch, time)
 
 
@@ -44,9 +44,9 @@
     program.durable.close()
 
 
-def test_a_hand_over_on_a_sick_disk_never_holds_the_loop(program, dial):
-    """It waited for the store's thread for up to 0.5 s, longer than a short grace for drains."""
-    disk = SickDisk(program.durable._store)
+def test_handover_on_blocked_disk_does_not_block_loop(program, dial):
+    """The loop waited for the store's thread for up to 0.5 s, longer than a short drain grace period."""
+    disk = BlockedDisk(program.durable._store)
     client = dial(program).send(job("a1", **ASYNC))
     turns(program, disk.entered.is_set)
     ended = []
@@ -63,19 +63,19 @@
         assert program.loop.clock.now() < until + SEND_TIMEOUT
     assert ended == [False] and longest < SEND_TIMEOUT / 2
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
-    disk.free.set()
+    disk.released.set()
     take_back(program.durable, lambda: None)
     turns(program, lambda: readable(client.sock))
     assert client.status() in (202, 503)
 
 
-def test_what_comes_up_while_the_store_was_to_leave_is_carried_out_if_it_stays(program, dial):
-    """A job that got on disk meanwhile was in neither process's tracker, and its client had no answer."""
-    disk = SickDisk(program.durable._store)
+def test_job_written_during_cancelled_handover_is_accepted(program, dial):
+    """A job written during a handover was in neither process's tracker, and its client got no answer."""
+    disk = BlockedDisk(program.durable._store)
     client = dial(program).send(job("a1", **ASYNC))
     turns(program, disk.entered.is_set)
-    program.durable.leaving = True  # asked for while the job is being written
-    disk.free.set()
+    program.durable.leaving = True  # a handover starts while the job is being written
+    disk.released.set()
     turns(program, lambda: program.durable._postponed)
     assert not program.tracker.tracked_requests
     program.durable.cancel_handover()
@@ -83,18 +83,18 @@
     assert reading(client, program)[0].split()[1] == "202"
 
 
-def test_a_grant_that_was_decided_on_meanwhile_is_written_if_the_store_stays(program, dial):
-    """The attempt was neither sent nor ended: its job waited for nothing up to its deadline."""
+def test_grant_during_cancelled_handover_is_written(program, dial):
+    """The attempt was neither sent nor ended, so its job waited until its deadline."""
     program.durable.leaving = False
     client = dial(program).send(job("a1", **ASYNC))
     grant = program.durable.grant
 
-    def leaving_first(*given):
+    def grant_while_leaving(*given):
         program.durable.leaving = True
         program.durable.grant = grant
         grant(*given)
 
-    program.durable.grant = leaving_first
+    program.durable.grant = grant_while_leaving
     turns(program, lambda: program.durable._postponed)
     assert program.counters.attempts == 0
     program.durable.cancel_handover()
@@ -102,23 +102,23 @@
     assert reading(client, program)[0].split()[1] == "202"
 
 
-def test_a_writer_that_is_asked_to_stop_and_to_go_on_has_one_thread_and_loses_nothing(program):
+def test_resumed_writer_has_one_thread(program):
     writer = program.durable.writer
     for _ in range(200):
         writer.request_stop()
         writer.resume()
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
-    heard = []
-    writer.read_store(lambda store: store.open_jobs(0, 1), heard.append)
-    turns(program, lambda: heard)
+    results = []
+    writer.read_store(lambda store: store.open_jobs(0, 1), results.append)
+    turns(program, lambda: results)
 
 
-def test_a_durable_request_that_is_half_read_at_a_hand_over_is_answered_once(tmp_path):
-    """Its first half came before the store had left, and its second to a process that has none."""
+def test_half_read_request_at_handover_is_answered_once(tmp_path):
+    """The first half came before the handover, the second to a process without the store."""
     with World(tmp_path, workers=1, file=FILE, held=True) as world:
         text = job("a1", **ASYNC)
         client = world.connect().send(text[:90])
-        world.counters()  # it has been read by then
+        world.counters()  # the first half has been read by then
         old, _ = world.upgrade()
         client.send(text[90:])
         assert client.read()[0].split()[1] == "202"
@@ -132,8 +132,8 @@
         assert client.read()[2] == b"r"
 
 
-def test_a_hand_over_waits_until_all_open_jobs_are_read_back(program):
-    """Begun before that, it would let go of a store whose jobs it has not seen."""
+def test_handover_waits_until_jobs_are_loaded(program):
+    """An earlier handover would release a store whose open jobs are not loaded yet."""
     program.durable.read_back.loaded = False
     ended = []
     HandOver(program.durable, lambda attempt: False, ended.append)
@@ -147,12 +147,12 @@
     assert ended == [True] and program.durable.writer is None
 
 
-def test_an_upgrade_right_after_a_crash_loses_no_open_job(tmp_path):
+def test_upgrade_after_crash_keeps_open_jobs(tmp_path):
     with World(tmp_path, workers=1, file=FILE, held=True) as world:
         names = [put(world, f"a{number}", key=f"k{number}") for number in range(40)]
         world.kill()
         world.process = world.start()
-        world.wait_until_ready()  # it serves, and may be found by the next process
+        world.wait_until_ready()  # it serves, and its successor can find it
         world.upgrade()
         for _ in names:
             number, peer, headers = take_job(world)
@@ -162,23 +162,21 @@
             assert get(world, name)[0] == 200
 
 
-def test_a_request_that_was_put_off_is_as_old_in_the_next_process_as_its_client_has_waited(
-    make_program, worker
-):
-    """Its client's time began anew there, and its answer came as much too late as it had been put off."""
+def test_deferred_request_keeps_its_arrival_time(make_program, worker):
+    """The successor restarted the client's time, so the answer was late by the time of the deferral."""
     program = make_program()
     program.upgrade.find()
     while not program.serving():
         program.loop.turn()
-    came = program.loop.now - timedelta(seconds=2)
-    passed = Incoming(False, job("a1", deadline="5000m"), came // MICROSECOND, came // MICROSECOND)
-    program.frontend.adopt(socket.create_connection(("127.0.0.1", worker.port)), passed)
+    received = program.loop.now - timedelta(seconds=2)
+    incoming = Incoming(False, job("a1", deadline="5000m"), received // MICROSECOND, received // MICROSECOND)
+    program.frontend.adopt(socket.create_connection(("127.0.0.1", worker.port)), incoming)
     (tracked,) = program.tracker.tracked_requests.values()
-    assert tracked.give_up == came + timedelta(seconds=5) - ANSWER_MARGIN
+    assert tracked.give_up == received + timedelta(seconds=5) - ANSWER_MARGIN
 
 
-def test_one_with_the_half_of_another_request_behind_it_is_passed_on_once_that_is_whole(program, dial):
-    """What had been read of the other one was left behind with the old process."""
+def test_deferred_request_waits_for_half_read_one(program, dial):
+    """The part of the next request that was read stayed in the old process and was lost."""
     client = dial(program).send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     turns(program, lambda: program.frontend.slots.kept)
     program.durable.leaving = True
@@ -189,18 +187,18 @@
     assert list(program.frontend.release_put_off()) == []
     client.send(text[50:])
     turns(program, lambda: not connection.began())
-    ((sock, passed),) = program.frontend.release_put_off()
-    assert passed.read.count(b"Req-Id") + passed.read.count(b"req-id") == 2
+    ((sock, incoming),) = program.frontend.release_put_off()
+    assert incoming.read.count(b"Req-Id") + incoming.read.count(b"req-id") == 2
     sock.close()
 
 
-def test_a_record_that_comes_as_the_writer_ends_is_written_and_the_store_handed_over(program):
-    """The hand-over was called off for it, and the new process ended for want of the store."""
-    ended, heard, writer = [], [], program.durable.writer
+def test_record_queued_as_writer_ends_is_written(program):
+    """The handover was cancelled for it, and the new process ended without the store."""
+    ended, results, writer = [], [], program.durable.writer
     HandOver(program.durable, lambda attempt: False, ended.append)
     until = time.monotonic() + SEND_TIMEOUT.total_seconds()
     while not writer.stopped:
         assert time.monotonic() < until
-    writer.write(accepted(1), heard.append)  # as a worker's call-back does
+    writer.write(accepted(1), results.append)  # as a worker's callback does
     turns(program, lambda: ended)
-    assert ended == [True] and heard == [None]
+    assert ended == [True] and results == [None]
--- a/tests/test_durable_limits.py
+++ b/tests/test_durable_limits.py
@@ -1,4 +1,4 @@
-"""What is decided beside the store: how much is taken on, when recovered jobs enter, names."""
+"""Limits on durable jobs, the rate of readmission after a restart, and job names."""
 
 from datetime import timedelta
 
@@ -7,48 +7,51 @@
 from carthinge.durable.recovery import RecoveryQueue
 
 
-def test_limits_name_what_is_short_and_count_what_is_open():
+def test_limits_give_shed_reason_and_count_open_jobs():
     limits = Limits(
         max_open=3, max_open_per_tenant=2, max_open_bytes=100, max_store_bytes=10_000, max_backlog=5
     )
-    fine = {"tenant": "a", "size": 10, "backlog": 0, "store_bytes": 0, "failing": False}
-    assert limits.shed_reason(**fine) is None
-    assert limits.shed_reason(**{**fine, "failing": True}) is Shed.FAILING
-    assert limits.shed_reason(**{**fine, "backlog": 5}) is Shed.BACKLOG
-    assert limits.shed_reason(**{**fine, "store_bytes": 8_500}) is Shed.FULL
-    assert limits.shed_reason(**{**fine, "size": 101}) is Shed.BYTES
+    accepted = {"tenant": "a", "size": 10, "backlog": 0, "store_bytes": 0, "failing": False}
+    assert limits.shed_reason(**accepted) is None
+    assert limits.shed_reason(**{**accepted, "failing": True}) is Shed.FAILING
+    assert limits.shed_reason(**{**accepted, "backlog": 5}) is Shed.BACKLOG
+    assert limits.shed_reason(**{**accepted, "store_bytes": 8_500}) is Shed.FULL
+    assert limits.shed_reason(**{**accepted, "size": 101}) is Shed.BYTES
     limits.add("a", 10)
     limits.add("a", 10)
-    assert limits.shed_reason(**fine) is Shed.TENANT and limits.shed_reason(**{**fine, "tenant": "b"}) is None
+    assert (
+        limits.shed_reason(**accepted) is Shed.TENANT
+        and limits.shed_reason(**{**accepted, "tenant": "b"}) is None
+    )
     limits.add("b", 10)
-    assert limits.shed_reason(**{**fine, "tenant": "c"}) is Shed.OPEN
+    assert limits.shed_reason(**{**accepted, "tenant": "c"}) is Shed.OPEN
     limits.remove("a", 10)
-    assert limits.shed_reason(**fine) is None and limits.bytes == 20
+    assert limits.shed_reason(**accepted) is None and limits.bytes == 20
 
 
-def test_recovered_jobs_enter_at_their_pace_and_those_whose_time_is_over_at_once():
+def test_recovered_jobs_are_readmitted_at_the_rate_or_deadline():
     queue = RecoveryQueue(per_s=100)
     for job in range(50):
         queue.add(job, timedelta(seconds=1000))
     queue.add("late", timedelta(seconds=1))
     assert queue.pop_due(timedelta(seconds=0)) == []
-    entered, now = [], timedelta()
+    readmitted, now = [], timedelta()
     while now < timedelta(milliseconds=300):
         due = queue.next_due(now)
         assert now < due <= now + timedelta(milliseconds=20)
         now = due
-        entered += queue.pop_due(now)
-    assert 28 <= len(entered) <= 32 and entered == list(range(len(entered)))
+        readmitted += queue.pop_due(now)
+    assert 28 <= len(readmitted) <= 32 and readmitted == list(range(len(readmitted)))
     assert queue.remove(40) and not queue.remove(40)
-    at_its_end = queue.pop_due(timedelta(seconds=1))
-    assert at_its_end[0] == "late"
-    entered += at_its_end[1:]
+    at_deadline = queue.pop_due(timedelta(seconds=1))
+    assert at_deadline[0] == "late"
+    readmitted += at_deadline[1:]
     while len(queue):
-        entered += queue.pop_due(now := queue.next_due(now))
-    assert set(entered) == set(range(50)) - {40} and queue.next_due(now) is None
+        readmitted += queue.pop_due(now := queue.next_due(now))
+    assert set(readmitted) == set(range(50)) - {40} and queue.next_due(now) is None
 
 
-def test_names_of_jobs_cannot_be_made_up():
+def test_forged_job_names_are_rejected():
     name = job_name(12345, b"secret")
     assert job_number(name, b"secret") == 12345 and job_number(name, b"other") is None
     for bad in ("", "-", "3039", "03039" + name[4:], name.upper(), name[:-1], "x" * 300, name + "\u00e9"):
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -1,4 +1,4 @@
-"""Durable jobs while one process of a scheduler takes over from the other."""
+"""Durable jobs during upgrades of a scheduler."""
 
 import contextlib
 import signal
@@ -10,21 +10,21 @@
 
 from carthinge.durable.limits import Shed
 
-LAGS = f"{Shed.BACKLOG.value}\n".encode()
+BACKLOG_ANSWER = f"{Shed.BACKLOG.value}\n".encode()
 
 
-#: A stub that is slow for once is not ill, and its job is not tried elsewhere meanwhile.
-PATIENT = [{**spec, "objective": 9_000_000} for spec in SETTINGS["services"]]
+#: Long objectives: a stub that is slow once is not marked unhealthy, and its job is not sent elsewhere.
+PATIENT_SERVICES = [{**spec, "objective": 9_000_000} for spec in SETTINGS["services"]]
 
 
 @pytest.fixture
 def held(tmp_path):
-    file, settings = FILE.replace("0.4", "9"), {**SETTINGS, "services": PATIENT}
+    file, settings = FILE.replace("0.4", "9"), {**SETTINGS, "services": PATIENT_SERVICES}
     with World(tmp_path, workers=2, settings=settings, file=file, held=True) as started:
         yield started
 
 
-def test_an_upgrade_passes_the_store_and_those_who_wait_on(held):
+def test_upgrade_hands_over_store_and_waiting_clients(held):
     in_place = put(held, "a1", prefer=None)
     number, req_id, token = accept(held)
     path = put(held, "a2", key="k2")
@@ -41,7 +41,7 @@
     assert held.counters()["attempts_written"] == 0
 
 
-def test_a_new_process_that_is_killed_gives_the_store_back(held):
+def test_store_returns_if_new_process_is_killed(held):
     client = put(held, "a1", prefer=None)
     number, req_id, token = accept(held)
     (old, operator), new = held.upgrade(), held.process
@@ -54,7 +54,7 @@
     client.close()
 
 
-def test_a_new_process_that_cannot_have_the_store_changes_nothing(held):
+def test_new_process_without_store_changes_nothing(held):
     client = put(held, "a1", prefer=None)
     number, req_id, token = accept(held)
     refused = held.start(RELAY_OPERATOR=f"{HOST}:{free_port()}", CARTHINGE_FILE=str(other_file(held)))
@@ -65,15 +65,15 @@
 
 
 def other_file(world):
-    """A file whose store's folder cannot be made."""
+    """Write an operator's file with a store folder that cannot be created."""
     path = world.file_path.with_name("other.toml")
     path.write_text(FILE.replace("{folder}", str(world.config_path / "not-a-folder")))
     return path
 
 
-def test_no_durable_job_is_lost_or_run_twice_while_clients_keep_asking_through_upgrades(held):
-    """Clients in place, one after the other on kept connections; workers that serve at once."""
-    stop, sent, statuses, faults = threading.Event(), [], [], []
+def test_upgrades_under_load_run_each_job_once(held):
+    """Clients send job after job on kept connections, and workers serve at once."""
+    stop, sent, statuses, errors = threading.Event(), [], [], []
 
     def ask(name):
         peer = held.connect()
@@ -84,12 +84,13 @@
             try:
                 peer.send(job(req_id, kind="reindex", deadline="9000m", Idempotency_Key=req_id))
                 first, headers, body = peer.read()
-                if body != LAGS:  # a refusal that a busy disk may cause at any time, upgrade or not
+                # A busy disk may cause this refusal at any time, with or without an upgrade.
+                if body != BACKLOG_ANSWER:
                     statuses.append((first, body.decode(), req_id))
                 if headers.get("connection") == "close":
                     peer = held.connect()
-            except (OSError, EOFError) as fault:
-                faults.append((req_id, repr(fault)))
+            except (OSError, EOFError) as error:
+                errors.append((req_id, repr(error)))
                 peer = held.connect()
 
     def work():
@@ -98,7 +99,7 @@
                 number, peer, (line, headers, _) = held.take()
             except (AssertionError, ValueError, OSError):  # the test is over
                 return
-            with contextlib.suppress(OSError, EOFError):  # given up meanwhile: on with the next
+            with contextlib.suppress(OSError, EOFError):  # withdrawn in the meantime: continue with the next
                 peer.answer(202)
                 if line.startswith("POST"):
                     sent.append(headers["req-id"])
@@ -115,9 +116,9 @@
     stop.set()
     for thread in threads:
         thread.join(20)
-    assert not faults and {first for first, _, _ in statuses} == {"HTTP/1.1 200 OK"}, (faults, statuses[-5:])
+    assert not errors and {first for first, _, _ in statuses} == {"HTTP/1.1 200 OK"}, (errors, statuses[-5:])
     assert all(body == req_id for _, body, req_id in statuses) and len(statuses) > 20
-    # A second attempt may only follow on one that was given up, as a stub that is slow to read may cause.
-    given_up = [line for line in held.log().splitlines() if "attempt_ended" in line and "CANCELLED" in line]
-    again = {req_id for req_id in sent if sent.count(req_id) > 1}
-    assert all(any(f"id={req_id} " in line for line in given_up) for req_id in again), again
+    # A second attempt may only follow one that was withdrawn, which a stub that reads slowly may cause.
+    withdrawn = [line for line in held.log().splitlines() if "attempt_ended" in line and "CANCELLED" in line]
+    repeated = {req_id for req_id in sent if sent.count(req_id) > 1}
+    assert all(any(f"id={req_id} " in line for line in withdrawn) for req_id in repeated), repeated
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store of durable jobs by itself: torn, damaged, on a disk that fails; its owner and its command."""
+"""The store of durable jobs alone: torn or damaged files, a failing disk, its lock, and the command line."""
 
 import json
 import random
@@ -18,10 +18,10 @@
 from carthinge.durable.writer import Writer
 from carthinge.net.loop import READ, Loop
 
-# ---- what a crash leaves ------------------------------------------------------------------------
+# ---- crashes and damage -------------------------------------------------------------------------
 
 
-def test_a_log_torn_at_any_byte_gives_whole_commits_and_never_a_part_of_one(tmp_path):
+def test_torn_log_gives_whole_commits(tmp_path):
     store = opened(tmp_path / "store")
     for step in range(6):  # each commit has two jobs
         store.apply([accepted(10 * step + 1), accepted(10 * step + 2, body=b"x" * 300)], at(step))
@@ -38,7 +38,7 @@
         (folder / "jobs.db-wal").write_bytes(whole[:cut])
         try:
             torn = opened(folder)
-        except StoreError as fault:  # cut before the commit that made the tables: no job was taken on yet
+        except StoreError as fault:  # even before the commit that creates the tables, with no job yet
             raise AssertionError(f"cut at {cut}: {fault}") from None
         numbers = [job.accepted.number for job in torn.open_jobs(0, 100).jobs]
         torn.close()
@@ -48,7 +48,7 @@
     assert seen == sorted(seen) and seen[-1] == 12
 
 
-def test_a_log_that_is_damaged_in_the_middle_is_refused_and_the_last_commit_torn_is_not(tmp_path):
+def test_log_damaged_in_the_middle_is_refused(tmp_path):
     store = opened(tmp_path / "store")
     for step in range(4):
         store.apply([accepted(step + 1)], at(step))
@@ -72,7 +72,7 @@
         opened(copies["damaged"])
 
 
-def test_a_damaged_body_is_refused_when_it_is_read(tmp_path):
+def test_damaged_body_is_detected(tmp_path):
     store = opened(tmp_path)
     store.apply([accepted(1, body=b"precious"), accepted(2)], at(1))
     store.close()
@@ -89,7 +89,7 @@
     "change, message",
     [("PRAGMA user_version=99", "of format 99"), ("PRAGMA application_id=1", "not a store")],
 )
-def test_other_formats_and_other_files_are_refused(tmp_path, change, message):
+def test_other_formats_and_files_are_refused(tmp_path, change, message):
     opened(tmp_path).close()
     with sqlite3.connect(tmp_path / "jobs.db") as database:
         database.execute(change)
@@ -97,11 +97,11 @@
         opened(tmp_path)
 
 
-def test_after_a_restart_of_the_machine_times_go_on_and_windows_are_over(tmp_path):
+def test_reboot_shifts_times_and_ends_windows(tmp_path):
     store = opened(tmp_path, at(50_000_000, "first", wall=1_000_000_000))
     store.apply([accepted(1, give_up=60_000_000), granted(5, 1)], at(50_000_000, "first", wall=1_000_000_000))
     store.close()
-    store = opened(tmp_path, at(7_000_000, "second", wall=1_003_000_000))  # 3 s later by the wall
+    store = opened(tmp_path, at(7_000_000, "second", wall=1_003_000_000))  # 3 s later by the wall clock
     (job,) = store.open_jobs(0, 10).jobs
     assert job.accepted.give_up == 7_000_000 + 10_000_000 - 3_000_000
     assert job.attempts[0].sent == 0 and job.attempts[0].state is AttemptState.OUT
@@ -111,11 +111,11 @@
     store.close()
 
 
-# ---- a disk that fails --------------------------------------------------------------------------
+# ---- a failing disk -----------------------------------------------------------------------------
 
 
 class Faulty(sqlite3.Connection):
-    """Fails at statements drawn by seed: before they are carried out, or after."""
+    """Fails at random statements, by seed: before or after they are executed."""
 
     rng = random.Random()
     rate = 0.0
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_is_written_on_a_failing_disk_is_there_once_and_in_order(tmp_path, seed, monkeypatch):
+def test_failing_disk_keeps_records_once_and_in_order(tmp_path, seed, monkeypatch):
     monkeypatch.setattr("carthinge.durable.writer.MAX_BATCH_RECORDS", 7)
     monkeypatch.setattr("carthinge.durable.writer.MIN_RETRY_DELAY", timedelta(milliseconds=1))
 
@@ -140,25 +140,25 @@
 
     Faulty.rng, Faulty.rate = random.Random(seed), 0.0
     store = opened(tmp_path, connect=faulty)
-    loop, heard = Loop(), []
+    loop, notified = Loop(), []
     writer = Writer(store, lambda: at(1), lambda sock, ready: loop.register(sock, READ, ready))
     Faulty.rate = 0.1
-    loop.call_after(timedelta(seconds=20), lambda: None)  # so that no turn waits for longer
+    loop.call_after(timedelta(seconds=20), lambda: None)  # limits the wait of each turn
     for number in range(1, 60):
-        writer.write(accepted(number), lambda found, number=number: heard.append(number))
+        writer.write(accepted(number), lambda found, number=number: notified.append(number))
         writer.write(granted(1000 + number, number))
         if number % 3 == 0:
-            writer.write(ended(number), lambda found, number=number: heard.append(-number))
+            writer.write(ended(number), lambda found, number=number: notified.append(-number))
         if number % 10 == 0:
             loop.turn(idle=False)
     deadline = loop.clock.now() + timedelta(seconds=20)
-    while len(heard) < 59 + 19:
-        assert loop.clock.now() < deadline, f"seed {seed}: heard {len(heard)}"
+    while len(notified) < 59 + 19:
+        assert loop.clock.now() < deadline, f"seed {seed}: {len(notified)} callbacks"
         loop.turn()
     Faulty.rate = 0.0
     assert writer.stop(timedelta(seconds=5))
     order = [part for number in range(1, 60) for part in ([number, -number] if number % 3 == 0 else [number])]
-    assert heard == order, f"seed {seed}"
+    assert notified == order, f"seed {seed}"
     jobs = store.open_jobs(0, 100).jobs
     assert [job.accepted.number for job in jobs] == [n for n in range(1, 60) if n % 3], f"seed {seed}"
     assert all([sent.token for sent in job.attempts] == [1000 + job.accepted.number] for job in jobs)
@@ -168,7 +168,7 @@
     loop.close()
 
 
-def test_a_store_that_is_full_says_so_and_recovers_when_there_is_room_again(tmp_path):
+def test_full_store_fails_until_space_is_freed(tmp_path):
     store = opened(tmp_path, max_bytes=1024 * 1024)
     numbers = count(1)
     with pytest.raises(sqlite3.OperationalError, match="full"):
@@ -184,7 +184,7 @@
     store.close()
 
 
-# ---- one owner, and the command line ------------------------------------------------------------
+# ---- the lock and the command line --------------------------------------------------------------
 
 
 def run(command, folder, code=0):
@@ -198,7 +198,7 @@
     return json.loads(ran.stdout) if ran.stdout else ran.stderr.decode()
 
 
-def test_a_folder_has_one_owner_and_can_be_looked_at_meanwhile(tmp_path):
+def test_locked_store_can_be_shown_and_checked(tmp_path):
     store = opened(tmp_path)
     store.apply([accepted(1), granted(5, 1), accepted(2), ended(2)], at(1))
     with pytest.raises(StoreError, match="in use by process"):
@@ -213,19 +213,19 @@
     store.close()
 
 
-def test_compacting_gives_the_room_of_ended_jobs_back(tmp_path):
+def test_compaction_frees_space_of_ended_jobs(tmp_path):
     store = opened(tmp_path)
     store.apply([accepted(number, body=b"x" * 10_000) for number in range(1, 300)], at(1))
     store.apply([ended(number) for number in range(1, 299)], at(1))
     store.close()
-    told = run("compact", tmp_path)
-    assert told["bytes_after"] < told["bytes_before"] / 5
+    compacted = run("compact", tmp_path)
+    assert compacted["bytes_after"] < compacted["bytes_before"] / 5
     store = opened(tmp_path)
     assert [job.accepted.number for job in store.open_jobs(0, 10).jobs] == [299]
     store.close()
 
 
-def test_what_is_no_store_is_named(tmp_path):
+def test_other_folders_are_reported(tmp_path):
     assert "no such file" in run("show", tmp_path, code=2)
     (tmp_path / "jobs.db").write_bytes(b"something else" * 1000)
     assert "jobs.db" in run("check", tmp_path, code=2) or "not a database" in run("check", tmp_path, code=2)
--- a/tests/test_store_batches.py
+++ b/tests/test_store_batches.py
@@ -1,4 +1,4 @@
-"""The store against a dictionary: batches of everything, once or twice, with crashes between them."""
+"""Compares the store with a model of dictionaries: random batches, applied once or twice, with crashes."""
 
 import shutil
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Batches of everything, applied once or twice, with crashes between them."""
+    """Applies random batches once or twice, with crashes in between."""
 
     def __init__(self):
         super().__init__()
@@ -33,15 +33,15 @@
         twice=st.booleans(),
     )
     def accept(self, keys, twice):
-        batch, taken = [], set()
+        batch, used = [], set()
         for key in keys:
-            if key is None or key not in taken:
-                taken.add(key)
+            if key is None or key not in used:
+                used.add(key)
                 batch.append(accepted(next(self.numbers), key, bytes(next(self.numbers) % 50)))
-        others = self.apply(batch, twice)
+        existing = self.apply(batch, twice)
         for record in batch:
             holder = self.keys.get(record.key)
-            assert (others[record.number].number if record.number in others else None) == holder
+            assert (existing[record.number].number if record.number in existing else None) == holder
             if holder is None:
                 self.jobs[record.number] = [JobState.OPEN, record.body, record.key, None]
                 if record.key is not None:
@@ -78,31 +78,35 @@
         self.apply([Collected(number, forget_at)], False)
         self.jobs[number][3] = min(self.jobs[number][3], forget_at)
 
-    @rule(span=st.integers(1, 60))
-    def forget(self, span):
-        self.now += span
+    @rule(elapsed=st.integers(1, 60))
+    def forget(self, elapsed):
+        self.now += elapsed
         while self.store.forget(self.now):
             pass
         for number in [n for n, job in self.jobs.items() if job[3] and job[3] <= self.now]:
             key = self.jobs.pop(number)[2]
             if key is not None:
                 del self.keys[key]
-            self.attempts = {token: known for token, known in self.attempts.items() if known[0] != number}
+            self.attempts = {
+                token: attempt_state
+                for token, attempt_state in self.attempts.items()
+                if attempt_state[0] != number
+            }
 
     @rule()
     def crash(self):
-        """The log is left as it is, as by a process that is killed."""
+        """Reopen the store, whose log is left as by a killed process."""
         self.store.close()
         epoch = self.store.epoch
         self.store = opened(self.folder, at(self.now))
         assert self.store.epoch == epoch + 1
 
     def apply(self, batch, twice):
-        others = self.store.apply(batch, at(self.now))
-        return self.store.apply(batch, at(self.now)) if twice else others
+        existing = self.store.apply(batch, at(self.now))
+        return self.store.apply(batch, at(self.now)) if twice else existing
 
     @invariant()
-    def agrees(self):
+    def matches_model(self):
         if not hasattr(self, "store"):
             return
         open_jobs = {job.accepted.number: job for job in self.store.open_jobs(0, 1000).jobs}
--- a/tests/test_store_files.py
+++ b/tests/test_store_files.py
@@ -1,4 +1,4 @@
-"""File calls that fail for a while: the store is named as the fault, holds nothing, and opens afterwards."""
+"""File calls that fail once: opening raises StoreError, leaks no descriptor, and succeeds afterwards."""
 
 import errno
 import os
@@ -15,7 +15,7 @@
 
 
 class FaultyFiles(Files):
-    """The real calls; one of them fails first."""
+    """Makes the real calls; the chosen one fails the first time."""
 
     def __init__(self, call, error):
         self.opened = set()
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("error", FAULTS, ids=errno.errorcode.get)
 @pytest.mark.parametrize("call", CALLS)
-def test_a_store_that_could_not_be_opened_holds_nothing_and_opens_later(tmp_path, call, error):
+def test_failed_open_leaks_nothing_and_can_be_retried(tmp_path, call, error):
     files = FaultyFiles(call, error)
     store = Store(tmp_path, 10**9, files=files)
     with pytest.raises(StoreError, match=os.strerror(error)):
@@ -68,8 +68,8 @@
 
 
 @pytest.mark.parametrize("error", FAULTS, ids=errno.errorcode.get)
-def test_a_full_disk_does_not_keep_a_lock_that_nobody_can_take_again(tmp_path, error):
-    """The owner's name could not be written: the lock stayed held by a descriptor that nobody knew."""
+def test_failed_owner_write_does_not_leak_lock(tmp_path, error):
+    """If the owner's name could not be written, the lock stayed held by a leaked descriptor."""
     files = FaultyFiles("note_owner", error)
     store = Store(tmp_path, 10**9, files=files)
     store.open(at(1))
