--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -60,7 +60,7 @@
         self._unwritten: list[tuple[timedelta, int, Held]] = []  # a heap: timeout, number, job
         self._unwritten_timer: Timer | None = None
 
-    def take(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter, arrived: timedelta) -> None:
+    def submit(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter, arrived: timedelta) -> None:
         """Submit a request received at ``arrived``; ``waiter`` is notified of the outcome."""
         digest = request_digest(job.subject, job.body)
         hashed_key = key_digest(terms.tenant_name, terms.class_name, key) if key is not None else None
@@ -155,7 +155,7 @@
     def _join(self, durable_job: Held, digest: bytes, waiter: Waiter) -> None:
         if durable_job.accepted.digest != digest:
             waiter.mismatch()
-        elif durable_job.told and durable_job.ending is not None:
+        elif durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
         else:
             durable_job.add(waiter)
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -1,4 +1,4 @@
-"""An open durable job: the client and keeper of its tracked request, with the waiters for its end."""
+"""An open durable job, as the tracker sees it, with the waiters for its end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     def ended(self, ending: Ending) -> None:
         """The job has ended."""
 
-    def shed(self, why: Shed, stay_away: timedelta) -> None:
+    def shed(self, reason: Shed, retry_after: timedelta) -> None:
         """The job is not accepted."""
 
     def moved(self, number: int) -> None:
@@ -64,7 +64,7 @@
 class Held:
     """A durable job that is open here, or whose end is not on disk yet.
 
-    Implements the tracker's client and keeper protocols.
+    Implements the tracker's protocols for a client and for recording attempts.
     """
 
     jobs: JobRecorder
@@ -73,7 +73,7 @@
     tracked: TrackedRequest | None = None  #: None until it is on disk and, if recovered, readmitted
     on_disk: bool = False
     ending: Ending | None = None
-    told: bool = False  #: whether its waiters were notified of the ending
+    notified: bool = False  #: whether its waiters were notified of the ending
     last_token: int = 0
     result_token: int = 0  #: of the attempt that provided the result, 0 for none
     callbacks: list[Callable[[int], None]] = field(default_factory=list)  #: to be answered at its end
@@ -89,9 +89,9 @@
         """End the job with a result."""
         self.jobs.end(self, Ending(JobState.SERVED, result))
 
-    def shed(self, stay_away: timedelta) -> None:
+    def shed(self, retry_after: timedelta) -> None:
         """End the job as refused."""
-        self.jobs.end(self, Ending(JobState.REFUSED, stay_away=stay_away))
+        self.jobs.end(self, Ending(JobState.REFUSED, stay_away=retry_after))
 
     def fail(self, timed_out: bool) -> None:
         """End the job as failed."""
@@ -101,7 +101,7 @@
         """End the job as failed, since no worker can use the request."""
         self.jobs.end(self, Ending(JobState.FAILED, b"no worker can use this request\n"))
 
-    # ---- the tracker's keeper ----------------------------------------------------------------
+    # ---- recording of attempts --------------------------------------------------------------
 
     def grant(self, attempt: Attempt, send: Callable[[], None]) -> None:
         """Record that an attempt is about to be sent."""
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -190,9 +190,9 @@
         """Submit a request for a durable job; ``waiter`` is notified of the outcome."""
         if not self.loaded:  # its key may belong to a job that is not loaded yet
             arrived = self.loop.now
-            self.read_back.defer(lambda: self._admission.take(job, terms, key, waiter, arrived))
+            self.read_back.defer(lambda: self._admission.submit(job, terms, key, waiter, arrived))
         else:
-            self._admission.take(job, terms, key, waiter, self.loop.now)
+            self._admission.submit(job, terms, key, waiter, self.loop.now)
 
     # ---- lookup ---------------------------------------------------------------------------
 
@@ -218,7 +218,7 @@
 
     def wait(self, durable_job: Held, waiter: Waiter) -> None:
         """Notify ``waiter`` of the job's end."""
-        if durable_job.told and durable_job.ending is not None:
+        if durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
         else:
             durable_job.add(waiter)
@@ -372,8 +372,8 @@
 
     def _notify_waiters(self, durable_job: Held) -> None:
         ending = durable_job.ending
-        if not durable_job.told and ending is not None:
-            durable_job.told = True
+        if not durable_job.notified and ending is not None:
+            durable_job.notified = True
             waiters, durable_job.waiters = durable_job.waiters, []
             for waiter in waiters:
                 waiter.ended(ending)
