--- a/carthinge/durable/limits.py
+++ b/carthinge/durable/limits.py
@@ -8,9 +8,7 @@
 from typing import Final
 
 RESERVED_SHARE: Final = 0.1  # of the store, for the results of jobs that were accepted already
-RECORD_OVERHEAD_BYTES: Final = (
-    600  # on disk, per job beside its body, with the attempts that it is likely to have
-)
+RECORD_OVERHEAD_BYTES: Final = 600  # on disk, per job beside its body, with its likely attempts
 
 
 class Shed(Enum):
