--- a/carthinge/policy/load_reports.py
+++ b/carthinge/policy/load_reports.py
@@ -28,7 +28,9 @@
         free = values["free_slots"]
         held = values.get("held", 0.0) if free > 0.5 else 0.0
         self.context.fleet.shown(
-            worker.pool, round(free + held), rated=settings.weights in (io.Weights.NOMINAL, io.Weights.ROUGH)
+            worker.kind_stats,
+            round(free + held),
+            rated=settings.weights in (io.Weights.NOMINAL, io.Weights.ROUGH),
         )
         worker.free = round(free)
         if worker.free_at < 0 or worker not in self.recent_workers:
--- a/carthinge/policy/outlier_ejection.py
+++ b/carthinge/policy/outlier_ejection.py
@@ -27,7 +27,7 @@
         """Record a failed attempt; a full worker is avoided until a slot may be free."""
         context = self.context
         if result is io.Result.FULL:
-            pause = context.mean_work * context.slowdown(worker) / max(1.0, worker.pool.slots)
+            pause = context.mean_work * context.slowdown(worker) / max(1.0, worker.kind_stats.slots)
             pause = min(pause * 2**worker.refusals, max(pause, context.settings.cold_time))
             worker.refusals += 1
             worker.avoid(context.now + int(pause * context.rng.uniform(0.5, 1.5)))
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -160,7 +160,7 @@
     def estimate(self, worker: Worker, job: Job) -> float | None:
         """Return the expected time until the job is done here; None if the worker is busy or not allowed."""
         context, settings, probes = self.context, self.context.settings, self.reports.uses_probes
-        now, pool, kind = context.now, worker.pool, job.spec.kind
+        now, pool, kind = context.now, worker.kind_stats, job.spec.kind
         if not worker.ready or worker.avoid_until > now or kind not in (-1, worker.entry.kind):
             return None
         if (worker.errors >= UNHEALTHY_ERRORS and worker.slots_out) or (worker.in_line and not job.key):
@@ -193,7 +193,7 @@
         """Return the expected time until a slot is free, from own work, peers, start waits and ratings."""
         settings = self.context.settings
         rated = settings.weights is not io.Weights.OFF and worker.entry.rating > 0
-        size = worker.pool.slots or (worker.pool.size if rated else 1.0)
+        size = worker.kind_stats.slots or (worker.kind_stats.size if rated else 1.0)
         slots = worker.held()
         work = (worker.work_out + worker.peer_work) / size
         queued = max(0.0, slots + job.slots - size) / max(slots, 1.0)
@@ -204,7 +204,7 @@
             typical *= not self.slow_start.is_cold(worker)  # slow start keeps queues off cold workers
             wait = max(wait, others * worker.queue.left(now, typical))
         if rated and settings.weights is io.Weights.LIVE:
-            held = worker.pool.size / worker.entry.rating - 1.0
+            held = worker.kind_stats.size / worker.entry.rating - 1.0
             wait = max(
                 wait / 2,
                 (FITTING_WORK_WEIGHT * held + max(0.0, held - 0.9)) * self.context.mean_work * slowdown,
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -42,7 +42,7 @@
 
     entry: io.WorkerEntry
     id: int
-    pool: Kind
+    kind_stats: Kind
     cap: float  # outstanding slots above which it counts as busy
     started: int = -1  # time of its last start, or of the end of its exclusion by an operator
     back: int = 0  # when an operator last ended its exclusion
@@ -82,7 +82,7 @@
         old, self.entry = self.entry, entry
         self.listed = entry.state is not io.State.GONE
         self.ready = entry.state is io.State.READY and not out
-        self.pool.size = max(self.pool.size, entry.rating)
+        self.kind_stats.size = max(self.kind_stats.size, entry.rating)
         started = max(entry.started, self.back)
         if started != self.started:  # it restarted: what was learned of its state is void
             self.started = started
@@ -112,11 +112,11 @@
     def strength(self) -> float:
         """Return its throughput when warm, in work per unit of time, as far as its kind is known."""
         # Bounded, so that a corrupt list or report cannot make the sum over the fleet infinite.
-        return min(self.pool.slots or self.pool.size or 1.0, MAX_SLOTS) / self.pool.pace
+        return min(self.kind_stats.slots or self.kind_stats.size or 1.0, MAX_SLOTS) / self.kind_stats.pace
 
     def known_pace(self) -> float:
         """Return its own slowdown, or that of its kind until one of its jobs was timed."""
-        return self.pace or self.pool.pace
+        return self.pace or self.kind_stats.pace
 
 
 @dataclass(slots=True, eq=False)
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -109,7 +109,7 @@
             known = self.workers.get(entry.worker)
             if known is None:
                 known, changed = self.add(entry, cap), True
-            known.pool = self.kinds.setdefault(entry.kind, known.pool)
+            known.kind_stats = self.kinds.setdefault(entry.kind, known.kind_stats)
             changed |= known.renew(entry, entry.worker in self.out)
         if changed:
             self.renew()
@@ -195,7 +195,7 @@
         if groups is None:
             found: dict[int, list[Worker]] = {}
             for worker in pool:
-                found.setdefault(id(worker.pool), []).append(worker)
+                found.setdefault(id(worker.kind_stats), []).append(worker)
             groups = list(found.values())
             if pool is self.near or any(pool is kept for kept in self._pools.values()):
                 self._groups[id(pool)] = groups
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -123,8 +123,8 @@
     dispatcher.handle(
         1, [io.Retune(settings(SAFE, kinds=2), [0], [0, 1], [1, 0]), listing(*swapped, kind=io.Listing.WHOLE)]
     )
-    assert dispatcher.fleet.kinds[1].pace == dispatcher.fleet.workers[1].pool.pace == 3.0
-    assert dispatcher.fleet.kinds[0].pace == dispatcher.fleet.workers[2].pool.pace == 0.5
+    assert dispatcher.fleet.kinds[1].pace == dispatcher.fleet.workers[1].kind_stats.pace == 3.0
+    assert dispatcher.fleet.kinds[0].pace == dispatcher.fleet.workers[2].kind_stats.pace == 0.5
 
 
 def test_returning_worker_may_change_kind():
@@ -132,7 +132,7 @@
     dispatcher.handle(0, [listing(io.WorkerEntry(1, kind=0), io.WorkerEntry(2, kind=1))])
     dispatcher.handle(1, [listing(io.WorkerEntry(1, kind=1, started=1), kind=io.Listing.CHANGES)])
     workers = dispatcher.fleet.workers
-    assert workers[1].pool is workers[2].pool is dispatcher.fleet.kinds[1]
+    assert workers[1].kind_stats is workers[2].kind_stats is dispatcher.fleet.kinds[1]
 
 
 # ---- upgrades -----------------------------------------------------------------------------------
