--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -99,7 +99,7 @@
     return Memory(
         out=sorted(fleet.out),
         workers=_export_workers(fleet),
-        kinds=[(number, kind.pace, kind.slots, kind.size) for number, kind in fleet.kinds.items()],
+        kinds=[(number, kind.slowdown, kind.slots, kind.size) for number, kind in fleet.kinds.items()],
         meters={name: float(getattr(part, name)) for name, part in _meter_owners(dispatcher).items()},
         rates={name: (rate.per_s, rate.since) for name, rate in _rates(dispatcher).items()},
         spans=list(dispatcher.spans),
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -94,7 +94,7 @@
                 sample = (now - since) * self.context.warmth(worker, (since + now) // 2) / max(1.0, job.work)
                 sample = min(max(sample, previous / MAX_SAMPLE_RATIO), previous * MAX_SAMPLE_RATIO)
                 worker.pace = previous + (sample - previous) * EWMA_WEIGHT
-                worker.kind_stats.pace += (sample - worker.kind_stats.pace) * EWMA_WEIGHT / 3
+                worker.kind_stats.slowdown += (sample - worker.kind_stats.slowdown) * EWMA_WEIGHT / 3
         elif result not in FAULTLESS_RESULTS:
             worker.cap = max(MIN_CAP_SLOTS, worker.cap * CAP_DECREASE_FACTOR)
             self.ejector.record_failure(worker, result)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -28,7 +28,7 @@
 class Kind:
     """Statistics of a machine kind, used for workers that have none of their own yet."""
 
-    pace: float = 1.0  # running time over hinted work
+    slowdown: float = 1.0  # running time over hinted work
     slots: float = 0.0  # 0 until a load report shows some
     size: float = 0.0  # largest rating seen
 
@@ -112,11 +112,11 @@
     def strength(self) -> float:
         """Return its throughput when warm, in work per unit of time, as far as its kind is known."""
         # Bounded, so that a corrupt list or report cannot make the sum over the fleet infinite.
-        return min(self.kind_stats.slots or self.kind_stats.size or 1.0, MAX_SLOTS) / self.kind_stats.pace
+        return min(self.kind_stats.slots or self.kind_stats.size or 1.0, MAX_SLOTS) / self.kind_stats.slowdown
 
     def known_pace(self) -> float:
         """Return its own slowdown, or that of its kind until one of its jobs was timed."""
-        return self.pace or self.kind_stats.pace
+        return self.pace or self.kind_stats.slowdown
 
 
 @dataclass(slots=True, eq=False)
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -97,7 +97,7 @@
 
     def mean_pace(self) -> float:
         """Return the mean slowdown over all known machine kinds."""
-        return sum(kind.pace for kind in self.kinds.values()) / len(self.kinds) if self.kinds else 1.0
+        return sum(kind.slowdown for kind in self.kinds.values()) / len(self.kinds) if self.kinds else 1.0
 
     def take(self, event: io.WorkerList, cap: float) -> None:
         """Apply a worker list from discovery; ``cap`` is for workers not known before."""
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -41,7 +41,7 @@
         warmed_up = min(1.0, (now + 30_000 - NOW) / settings().cold_time)
         ends = now + int(50_000 / (share + (1 - share) * warmed_up))
         dispatcher.handle(ends, [outcome(step, 0, 1, io.Result.OK)])
-    assert worker.pace and abs(worker.pace - 1) < 0.1 and abs(worker.kind_stats.pace - 1) < 0.1
+    assert worker.pace and abs(worker.pace - 1) < 0.1 and abs(worker.kind_stats.slowdown - 1) < 0.1
 
 
 def test_cold_worker_has_higher_slowdown():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,7 +16,7 @@
     dispatcher = started(settings(), 1)
     dispatcher.handle(1, [arrival(hint=700, slots=2.0)])
     job = dispatcher.jobs[1]
-    dispatcher.fleet.kinds[0].pace = 9.0
+    dispatcher.fleet.kinds[0].slowdown = 9.0
     assert job.cost == 1400.0
     dispatcher.handle(2, [arrival(2, hint=0)])
     assert dispatcher.jobs[2].cost == 1.0
@@ -183,7 +183,7 @@
 def test_slow_fleet_still_gets_jobs():
     """After a slow period all jobs were refused at once, and nothing was learned any more (i4460a8)."""
     dispatcher = started(settings(WORTHLESS_LATE), 1)
-    dispatcher.fleet.kinds[0].pace = 50.0
+    dispatcher.fleet.kinds[0].slowdown = 50.0
     assert of(io.Send, dispatcher.handle(1, [arrival()]))
 
 
@@ -226,8 +226,8 @@
             *(io.WorkerEntry(n, kind=n % 2) for n in range(1, 41)),
             seed=position,
         )
-        dispatcher.fleet.kinds[0].slots, dispatcher.fleet.kinds[0].pace = 3, 0.4
-        dispatcher.fleet.kinds[1].slots, dispatcher.fleet.kinds[1].pace = 2, 1.6
+        dispatcher.fleet.kinds[0].slots, dispatcher.fleet.kinds[0].slowdown = 3, 0.4
+        dispatcher.fleet.kinds[1].slots, dispatcher.fleet.kinds[1].slowdown = 2, 1.6
         for send in of(io.Send, dispatcher.handle(1, [arrival(n) for n in range(3)])):
             got[dispatcher.fleet.workers[send.worker].entry.kind] += 1
     # One half of the workers has six times the capacity of the other.
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -95,7 +95,7 @@
     """A rate in the wrong unit allowed all jobs (colombo rough-2, failback)."""
     dispatcher = started(settings(), 1, 2)
     serve(dispatcher, 200, 20_000)
-    dispatcher.fleet.kinds[0].pace = dispatcher.fleet.workers[1].pace = 1.0  # jobs run as long as hinted
+    dispatcher.fleet.kinds[0].slowdown = dispatcher.fleet.workers[1].pace = 1.0  # jobs run as long as hinted
     now = 4_000_000
     dispatcher.handle(
         now,
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -118,13 +118,13 @@
     dispatcher = started(settings(SAFE, kinds=2))
     entries = [io.WorkerEntry(1, kind=0), io.WorkerEntry(2, kind=1)]
     dispatcher.handle(0, [listing(*entries)])
-    dispatcher.fleet.kinds[0].pace, dispatcher.fleet.kinds[1].pace = 3.0, 0.5
+    dispatcher.fleet.kinds[0].slowdown, dispatcher.fleet.kinds[1].slowdown = 3.0, 0.5
     swapped = [replace(entry, kind=1 - entry.kind) for entry in entries]
     dispatcher.handle(
         1, [io.Retune(settings(SAFE, kinds=2), [0], [0, 1], [1, 0]), listing(*swapped, kind=io.Listing.WHOLE)]
     )
-    assert dispatcher.fleet.kinds[1].pace == dispatcher.fleet.workers[1].kind_stats.pace == 3.0
-    assert dispatcher.fleet.kinds[0].pace == dispatcher.fleet.workers[2].kind_stats.pace == 0.5
+    assert dispatcher.fleet.kinds[1].slowdown == dispatcher.fleet.workers[1].kind_stats.slowdown == 3.0
+    assert dispatcher.fleet.kinds[0].slowdown == dispatcher.fleet.workers[2].kind_stats.slowdown == 0.5
 
 
 def test_returning_worker_may_change_kind():
