--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -99,7 +99,7 @@
 
     def slowdown(self, worker: Worker, at: int = -1) -> float:
         """Return running time over hinted work for a job that starts there at a time (by default now)."""
-        return worker.known_pace() / self.warmth(worker, at)
+        return worker.known_slowdown() / self.warmth(worker, at)
 
     def _update_capacity(self) -> None:
         """Update the mean capacity share of this dispatcher's subset, once in a window of rule 4."""
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -89,7 +89,7 @@
             (self.timeouts.record_run if attempt.begun else self.timeouts.record_response)(attempt)
             worker.cap += 1.0 / max(1.0, worker.cap)
             if attempt.begun or attempt.alone:
-                previous = worker.known_pace()
+                previous = worker.known_slowdown()
                 since = attempt.begun or attempt.sent
                 sample = (now - since) * self.context.warmth(worker, (since + now) // 2) / max(1.0, job.work)
                 sample = min(max(sample, previous / MAX_SAMPLE_RATIO), previous * MAX_SAMPLE_RATIO)
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -54,7 +54,7 @@
             worker.cold_slot = window
             schedulers = context.schedulers_per_worker()
             # Work sent does not count, so that refusals do not raise it.  A worker has at least one slot.
-            slot_rate = max(1.0, worker.kind_stats.slots) / worker.known_pace() / schedulers
+            slot_rate = max(1.0, worker.kind_stats.slots) / worker.known_slowdown() / schedulers
             rate = max(slot_rate, context.carried.per_s / 1e6)
             mean_jobs = context.warmth(worker) * rate * settings.fall_window / context.mean_work
             safe_total = (
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -114,7 +114,7 @@
         # Bounded, so that a corrupt list or report cannot make the sum over the fleet infinite.
         return min(self.kind_stats.slots or self.kind_stats.size or 1.0, MAX_SLOTS) / self.kind_stats.slowdown
 
-    def known_pace(self) -> float:
+    def known_slowdown(self) -> float:
         """Return its own slowdown, or that of its kind until one of its jobs was timed."""
         return self.pace or self.kind_stats.slowdown
 
