--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -114,7 +114,7 @@
     def mean_slowdown(self) -> float:
         """Return the present slowdown of a mean worker."""
         self._update_capacity()
-        return self.fleet.mean_pace() / self._mean_capacity_share
+        return self.fleet.mean_slowdown() / self._mean_capacity_share
 
     def expected_run_time(self, attempt: Attempt) -> float:
         """Return the run time of a started attempt by its hint, plus the objective as a margin of error."""
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -95,7 +95,7 @@
         self.workers_by_tag[worker.tag] = worker
         return worker
 
-    def mean_pace(self) -> float:
+    def mean_slowdown(self) -> float:
         """Return the mean slowdown over all known machine kinds."""
         return sum(kind.slowdown for kind in self.kinds.values()) / len(self.kinds) if self.kinds else 1.0
 
