--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -47,7 +47,7 @@
 
         It is what a warm worker serves or its slots can do, scaled by the capacity share, less the margin.
         """
-        if not worker.near:  # schedulers with it in their subset share its allowance
+        if not worker.in_subset:  # schedulers with it in their subset share its allowance
             return 0.0
         context, settings = self.context, self.context.settings
         if worker.cold_slot != (window := context.now // max(1, settings.fall_window)):
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -48,7 +48,7 @@
     back: int = 0  # when an operator last ended its exclusion
     listed: bool = False  # in any state but GONE
     ready: bool = False  # listed as READY and not excluded by an operator
-    near: bool = False  # in the subset of the fleet that this dispatcher prefers
+    in_subset: bool = False  # in the subset of the fleet that this dispatcher prefers
     slots_out: float = 0.0  # outstanding from this dispatcher
     work_out: float = 0.0
     in_line: int = 0  # attempts of this dispatcher that are queued at the worker
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -175,10 +175,10 @@
         self._workers_by_key.clear()
         self._order_ranks.clear()
         for worker in self.near:
-            worker.near = False
+            worker.in_subset = False
         self.near = self._select_subset(self.pool(-1))
         for worker in self.near:
-            worker.near = True
+            worker.in_subset = True
 
     def pool(self, kind: int) -> list[Worker]:
         """Return the ready workers of a machine kind (-1 for all), cached until the list changes."""
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -84,7 +84,7 @@
 def test_cold_worker_outside_subset_has_no_allowance():
     config = settings(SAFE, price_connection=0.1, instances=40)
     dispatcher = started(config, *range(1, 101))
-    outside = next(worker for worker in dispatcher.fleet.workers.values() if not worker.near)
+    outside = next(worker for worker in dispatcher.fleet.workers.values() if not worker.in_subset)
     outside.started = 1
     dispatcher.context.served.per_s = 1e9
     dispatcher.context.now = 2
