--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -132,7 +132,7 @@
     def enqueue(self, job: Job) -> None:
         """Queue the job until a worker is free, and schedule its expiry."""
         context = self.context
-        job.waiting, job.queued = True, context.now
+        job.waiting, job.enqueued_at = True, context.now
         last = job.give_up - context.settings.answer_grace
         worthless_late, reported = job.spec.late_worth <= 0, context.settings.tells_start
         # Without reported starts the measured slowdown includes the wait in queues.
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -177,7 +177,7 @@
             cap = min(worker.cap, pool.slots or worker.cap)  # jobs queued there cannot be ordered by worth
             if worker.slots_out and worker.held() + job.slots > cap:
                 return None
-            if probes and now < job.queued + job.spec.objective * PROBE_WAIT_SHARE:
+            if probes and now < job.enqueued_at + job.spec.objective * PROBE_WAIT_SHARE:
                 return None  # its probes are outstanding
         wait = self._expected_wait(worker, job, slowdown)
         if wait > job.bearable:
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -182,7 +182,7 @@
     tries: int  # attempt limit of the settings at its arrival
     attempts: list[Attempt] = field(default_factory=list)
     open: int = 0  # attempts without an outcome
-    queued: int = 0  # when it was last pushed to its heap
+    enqueued_at: int = 0  # when it was last pushed to its heap
     answered: bool = False
     waiting: bool = False
     place: int = 0  # sequence number of its valid heap entry; earlier entries are stale
