--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -91,7 +91,7 @@
                 break  # no worker further down can be better
             if (estimate := self.estimate(worker, job)) is not None:
                 estimate += step + QUEUE_PENALTY * self.context.mean_work * (
-                    len(own) > 1 and worker.in_line > 0
+                    len(own) > 1 and worker.queued_attempts > 0
                 )
                 if homes and not self.slow_start.is_cold(worker):  # later homes are likelier to fetch the key
                     distance = max(0, homes.index(worker) - spread) if worker in homes else KEY_HOME_COUNT
@@ -163,7 +163,9 @@
         now, pool, kind = context.now, worker.kind_stats, job.spec.kind
         if not worker.ready or worker.avoid_until > now or kind not in (-1, worker.entry.kind):
             return None
-        if (worker.errors >= UNHEALTHY_ERRORS and worker.slots_out) or (worker.in_line and not job.key):
+        if (worker.errors >= UNHEALTHY_ERRORS and worker.slots_out) or (
+            worker.queued_attempts and not job.key
+        ):
             return None  # one job at a time while it errs; a queue excludes it, unless a key would be fetched
         if (job.attempts and not self.may_repeat(worker, job)) or not self.slow_start.allows(worker, job):
             return None
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -51,7 +51,7 @@
     in_subset: bool = False  # in the subset of the fleet that this dispatcher prefers
     slots_out: float = 0.0  # outstanding from this dispatcher
     work_out: float = 0.0
-    in_line: int = 0  # attempts of this dispatcher that are queued at the worker
+    queued_attempts: int = 0  # attempts of this dispatcher that are queued at the worker
     peer_slots: float = 0.0  # outstanding from other dispatchers
     peer_work: float = 0.0
     pace: float = 0.0  # slowdown: running time over hinted work; 0 until a job was timed here
@@ -155,7 +155,7 @@
 
     def stand(self, queued: bool) -> None:
         """Set whether it is known to be queued at its worker."""
-        self.worker.in_line += queued - self.in_line
+        self.worker.queued_attempts += queued - self.in_line
         self.in_line = queued
 
     def over(self) -> bool:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -104,7 +104,9 @@
         dispatcher.handle(10**7, [arrival(99, now=10**7)])
         worker = dispatcher.jobs[99].attempts[0].worker
         dispatcher.handle(10**7 + 500_000, [io.Timer(0)])  # it has not started by now
-        assert worker.in_line and send_and_finish(dispatcher, 10**7 + 500_001, 100, key=0) != worker.id
+        assert (
+            worker.queued_attempts and send_and_finish(dispatcher, 10**7 + 500_001, 100, key=0) != worker.id
+        )
         firsts.append(used)
     assert not firsts[0] & firsts[1]
 
