--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -132,7 +132,7 @@
     begun: int = 0
     sign: int = 0  # time of the last report on it, 0 for none
     open: bool = True
-    in_line: bool = False  # queued at the worker: it did not begin within the usual time
+    queued: bool = False  # queued at the worker: it did not begin within the usual time
     alone: bool = True  # a slot was free when it was sent: its time includes no queueing
     may_have_run: bool = True  # until an outcome proves that it never ran
 
@@ -155,8 +155,8 @@
 
     def stand(self, queued: bool) -> None:
         """Set whether it is known to be queued at its worker."""
-        self.worker.queued_attempts += queued - self.in_line
-        self.in_line = queued
+        self.worker.queued_attempts += queued - self.queued
+        self.queued = queued
 
     def over(self) -> bool:
         """Return whether no timer can still affect it, now or later."""
