--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -105,7 +105,7 @@
         if not attempt.open or attempt.begun:
             return
         self.context.level.waited(self.context.now - attempt.sent, self.context.now)
-        attempt.stand(True)  # stops further sends: jobs queued at a worker cannot be ordered by worth
+        attempt.set_queued(True)  # stops further sends: jobs queued at a worker cannot be ordered by worth
         if attempt.job.hedged and not attempt.job.answered:
             attempt.alone = False  # its delay is recorded here; record_start must not count it again
             self.timeouts.prompt *= 1 + EWMA_WEIGHT / 2
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -146,14 +146,14 @@
     def leave(self) -> None:
         """Remove it from the load that this dispatcher counts at its worker."""
         self.worker.remove_load(self.job)
-        self.stand(False)
+        self.set_queued(False)
 
     def begin(self, now: int) -> None:
         """Record that it started running at ``now``."""
         self.begun = now
-        self.stand(False)
+        self.set_queued(False)
 
-    def stand(self, queued: bool) -> None:
+    def set_queued(self, queued: bool) -> None:
         """Set whether it is known to be queued at its worker."""
         self.worker.queued_attempts += queued - self.queued
         self.queued = queued
