--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -163,7 +163,7 @@
         now, pool, kind = context.now, worker.kind_stats, job.spec.kind
         if not worker.ready or worker.avoid_until > now or kind not in (-1, worker.entry.kind):
             return None
-        if (worker.errors >= UNHEALTHY_ERRORS and worker.slots_out) or (
+        if (worker.errors >= UNHEALTHY_ERRORS and worker.outstanding_slots) or (
             worker.queued_attempts and not job.key
         ):
             return None  # one job at a time while it errs; a queue excludes it, unless a key would be fetched
@@ -177,7 +177,7 @@
                 return None  # jobs of low worth leave a slot for those of high worth
         else:
             cap = min(worker.cap, pool.slots or worker.cap)  # jobs queued there cannot be ordered by worth
-            if worker.slots_out and worker.held() + job.slots > cap:
+            if worker.outstanding_slots and worker.held() + job.slots > cap:
                 return None
             if probes and now < job.enqueued_at + job.spec.objective * PROBE_WAIT_SHARE:
                 return None  # its probes are outstanding
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -49,7 +49,7 @@
     listed: bool = False  # in any state but GONE
     ready: bool = False  # listed as READY and not excluded by an operator
     in_subset: bool = False  # in the subset of the fleet that this dispatcher prefers
-    slots_out: float = 0.0  # outstanding from this dispatcher
+    outstanding_slots: float = 0.0  # outstanding from this dispatcher
     work_out: float = 0.0
     queued_attempts: int = 0  # attempts of this dispatcher that are queued at the worker
     peer_slots: float = 0.0  # outstanding from other dispatchers
@@ -97,17 +97,17 @@
 
     def carry(self, job: Job) -> None:
         """Add an attempt of this job to its outstanding load."""
-        self.slots_out += job.slots
+        self.outstanding_slots += job.slots
         self.work_out += job.work
 
     def remove_load(self, job: Job) -> None:
         """Subtract an attempt that has ended; rounding errors must not leave a negative load."""
-        self.slots_out = max(0.0, self.slots_out - job.slots)
+        self.outstanding_slots = max(0.0, self.outstanding_slots - job.slots)
         self.work_out = max(0.0, self.work_out - job.work)
 
     def held(self) -> float:
         """Return the slots that all dispatchers are known to have outstanding there."""
-        return self.slots_out + self.peer_slots
+        return self.outstanding_slots + self.peer_slots
 
     def strength(self) -> float:
         """Return its throughput when warm, in work per unit of time, as far as its kind is known."""
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -24,13 +24,13 @@
     @staticmethod
     def pack(workers: Iterable[Worker], rng: Random) -> bytes:
         """Encode the outstanding load; a random sample of the workers if not all fit."""
-        out = [worker for worker in workers if worker.slots_out > 0]
+        out = [worker for worker in workers if worker.outstanding_slots > 0]
         if len(out) > Loads.MAX_ENTRIES:
             out = rng.sample(out, Loads.MAX_ENTRIES)
         return b"".join(
             LOAD_ENTRY_FORMAT.pack(
                 worker.tag,
-                min(255, round(worker.slots_out * 8)),
+                min(255, round(worker.outstanding_slots * 8)),
                 min(255, round(8 * math.log2(1 + worker.work_out))),
             )
             for worker in out
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -144,7 +144,7 @@
     dispatcher = started(settings(), 1, 2)
     serve(dispatcher, 400, 20_000)
     now = 8_000_000
-    dispatcher.fleet.workers[1].avoid_until, dispatcher.fleet.workers[1].slots_out = now + 10**9, 50.0
+    dispatcher.fleet.workers[1].avoid_until, dispatcher.fleet.workers[1].outstanding_slots = now + 10**9, 50.0
     dispatcher.handle(now, [io.ByHand(1, True)])
     dispatcher.handle(now + 1, [io.ByHand(1, False)])
     dispatcher.handle(now + 2, [listing(1, 2, kind=io.Listing.WHOLE)])  # with its earlier start time
@@ -167,9 +167,9 @@
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
         dispatcher.handle(2, [io.ByHand(1, out)])
-    assert dispatcher.fleet.workers[1].slots_out == 0
+    assert dispatcher.fleet.workers[1].outstanding_slots == 0
     dispatcher.handle(3, [outcome(1, 0, 1, io.Result.OK)])
-    assert dispatcher.fleet.workers[1].slots_out == 0
+    assert dispatcher.fleet.workers[1].outstanding_slots == 0
 
 
 def test_unsafe_job_not_retried_at_readmitted_worker():
