--- a/carthinge/policy/response_timeouts.py
+++ b/carthinge/policy/response_timeouts.py
@@ -43,7 +43,7 @@
             job.spec.objective * MIN_RESPONSE_SHARE
             + run
             + wait
-            + worker.work_out / max(1.0, worker.kind_stats.slots)
+            + worker.outstanding_work / max(1.0, worker.kind_stats.slots)
         )
 
     def timeout(self, attempt: Attempt) -> int:
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -197,7 +197,7 @@
         rated = settings.weights is not io.Weights.OFF and worker.entry.rating > 0
         size = worker.kind_stats.slots or (worker.kind_stats.size if rated else 1.0)
         slots = worker.held()
-        work = (worker.work_out + worker.peer_work) / size
+        work = (worker.outstanding_work + worker.peer_work) / size
         queued = max(0.0, slots + job.slots - size) / max(slots, 1.0)
         wait = work * (FITTING_WORK_WEIGHT + min(1.0, queued))
         if settings.reports is io.Reports.OFF:  # only the waits for starts show what others have sent
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -50,7 +50,7 @@
     ready: bool = False  # listed as READY and not excluded by an operator
     in_subset: bool = False  # in the subset of the fleet that this dispatcher prefers
     outstanding_slots: float = 0.0  # outstanding from this dispatcher
-    work_out: float = 0.0
+    outstanding_work: float = 0.0
     queued_attempts: int = 0  # attempts of this dispatcher that are queued at the worker
     peer_slots: float = 0.0  # outstanding from other dispatchers
     peer_work: float = 0.0
@@ -98,12 +98,12 @@
     def carry(self, job: Job) -> None:
         """Add an attempt of this job to its outstanding load."""
         self.outstanding_slots += job.slots
-        self.work_out += job.work
+        self.outstanding_work += job.work
 
     def remove_load(self, job: Job) -> None:
         """Subtract an attempt that has ended; rounding errors must not leave a negative load."""
         self.outstanding_slots = max(0.0, self.outstanding_slots - job.slots)
-        self.work_out = max(0.0, self.work_out - job.work)
+        self.outstanding_work = max(0.0, self.outstanding_work - job.work)
 
     def held(self) -> float:
         """Return the slots that all dispatchers are known to have outstanding there."""
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -31,7 +31,7 @@
             LOAD_ENTRY_FORMAT.pack(
                 worker.tag,
                 min(255, round(worker.outstanding_slots * 8)),
-                min(255, round(8 * math.log2(1 + worker.work_out))),
+                min(255, round(8 * math.log2(1 + worker.outstanding_work))),
             )
             for worker in out
         )
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -60,7 +60,7 @@
     dispatcher.context.carried.per_s = 1e9
     dispatcher.handle(NOW, [cold(300)])
     for worker in dispatcher.fleet.pool(-1):
-        worker.work_out = 0.0 if worker.id == 300 else 400_000.0
+        worker.outstanding_work = 0.0 if worker.id == 300 else 400_000.0
         worker.outstanding_slots = 0.0 if worker.id == 300 else 2.0
     assert [send.worker for send in of(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW)]))] == [300]
 
