--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -77,7 +77,7 @@
         """Return the 16-bit number that identifies it in messages between dispatchers."""
         return self.point & 0xFFFF
 
-    def renew(self, entry: io.WorkerEntry, out: bool) -> bool:
+    def apply_entry(self, entry: io.WorkerEntry, out: bool) -> bool:
         """Apply its entry of a worker list; return whether more than the rating has changed."""
         old, self.entry = self.entry, entry
         self.listed = entry.state is not io.State.GONE
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -110,7 +110,7 @@
             if known is None:
                 known, changed = self.add(entry, cap), True
             known.kind_stats = self.kinds.setdefault(entry.kind, known.kind_stats)
-            changed |= known.renew(entry, entry.worker in self.out)
+            changed |= known.apply_entry(entry, entry.worker in self.out)
         if changed:
             self.renew()
 
