--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -124,7 +124,7 @@
         drawn = [
             group[int(rng.random() * len(group))]
             for group in rng.choices(
-                groups, [len(group) * group[0].strength() for group in groups], k=self.sample_size
+                groups, [len(group) * group[0].capacity() for group in groups], k=self.sample_size
             )
         ]
         if self.reports.uses_probes:
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -109,7 +109,7 @@
         """Return the slots that all dispatchers are known to have outstanding there."""
         return self.outstanding_slots + self.peer_slots
 
-    def strength(self) -> float:
+    def capacity(self) -> float:
         """Return its throughput when warm, in work per unit of time, as far as its kind is known."""
         # Bounded, so that a corrupt list or report cannot make the sum over the fleet infinite.
         return min(self.kind_stats.slots or self.kind_stats.size or 1.0, MAX_SLOTS) / self.kind_stats.slowdown
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -76,7 +76,7 @@
 
         return call
 
-    monkeypatch.setattr(Worker, "strength", counted(Worker.strength))
+    monkeypatch.setattr(Worker, "capacity", counted(Worker.capacity))
     monkeypatch.setattr(WorkerSelector, "may_repeat", counted(WorkerSelector.may_repeat))
     config = settings(
         io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5),
