--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -59,7 +59,7 @@
         """Handle a worker's report that an attempt has started or is running."""
         if attempt := self.context.find_attempt(event):
             self.ejector.mark_responsive(attempt.worker)
-            attempt.sign = self.context.now
+            attempt.last_report_at = self.context.now
             if event.begun and not attempt.begun:
                 self.timeouts.record_response(attempt)
                 self.timeouts.record_start(attempt)
@@ -124,7 +124,9 @@
         if attempt.over():
             return
         last_response = (
-            min(worker.heard_at, attempt.sign + settings.progress) if attempt.begun else worker.heard_at
+            min(worker.heard_at, attempt.last_report_at + settings.progress)
+            if attempt.begun
+            else worker.heard_at
         )
         due = max(attempt.begun or attempt.sent, last_response) + self.timeouts.timeout(attempt)
         # Responses about other attempts at the worker count, until this one's next progress report is due.
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -130,7 +130,7 @@
     sent: int
     expected: float  # time from the send to the first response
     begun: int = 0
-    sign: int = 0  # time of the last report on it, 0 for none
+    last_report_at: int = 0  # time of the last report on it, 0 for none
     open: bool = True
     queued: bool = False  # queued at the worker: it did not begin within the usual time
     alone: bool = True  # a slot was free when it was sent: its time includes no queueing
