--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -182,7 +182,7 @@
         if attempt.open:
             dispatcher.context.level.waiting -= not attempt.begun
             attempt.open = attempt.may_have_run = False  # here: its pending timers have nothing left to check
-            attempt.leave()
+            attempt.release_load()
 
 
 def restore_memory(dispatcher: DispatcherParts, event: io.Inherit) -> None:
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -140,10 +140,10 @@
         """Record that it has ended."""
         self.open = False
         self.job.open -= 1
-        self.leave()
+        self.release_load()
         self.may_have_run &= result not in io.NEVER_RAN
 
-    def leave(self) -> None:
+    def release_load(self) -> None:
         """Remove it from the load that this dispatcher counts at its worker."""
         self.worker.remove_load(self.job)
         self.set_queued(False)
