--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -121,7 +121,7 @@
     def _check_silence(self, attempt: Attempt) -> None:
         """Suspect the worker if no start, progress or result came in time: it may accept jobs and hang."""
         job, worker, settings = attempt.job, attempt.worker, self.context.settings
-        if attempt.over():
+        if attempt.is_settled():
             return
         last_response = (
             min(worker.heard_at, attempt.last_report_at + settings.progress)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -158,7 +158,7 @@
         self.worker.queued_attempts += queued - self.queued
         self.queued = queued
 
-    def over(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether no timer can still affect it, now or later."""
         job = self.job
         cancellable = job.hedged and not self.begun and self.may_have_run
@@ -196,7 +196,7 @@
     list_seen: int = -1  # version of the worker list at the last selection
     narrow: bool = False  # blocked by its own constraints: other jobs of its tenant may find a worker
 
-    def over(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether no timer can still affect it: an answered job neither waits nor can be cancelled."""
         return self.answered
 
--- a/carthinge/timers.py
+++ b/carthinge/timers.py
@@ -26,7 +26,7 @@
         """Run ``callback`` at ``due``, with the job or attempt that it is about."""
         self.count += 1
         if len(self.heap) >= self.compact_at:
-            self.heap = [timer for timer in self.heap if timer[3] is None or not timer[3].over()]
+            self.heap = [timer for timer in self.heap if timer[3] is None or not timer[3].is_settled()]
             heapify(self.heap)
             self.compact_at = max(MIN_COMPACT_SIZE, 2 * len(self.heap))
         heappush(self.heap, (due, self.count, callback, subject))
