--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -185,7 +185,7 @@
     enqueued_at: int = 0  # when it was last pushed to its heap
     answered: bool = False
     waiting: bool = False
-    place: int = 0  # sequence number of its valid heap entry; earlier entries are stale
+    heap_entry: int = 0  # sequence number of its valid heap entry; earlier entries are stale
     streaming: bool = False
     silent: bool = False  # cancelled at a worker where it had begun and gone silent
     hedged: bool = False  # it may be hedged as soon as it seems to be queued at a worker
@@ -270,12 +270,12 @@
             self.heap = [other for other in self.heap if self._is_current(other)]
             heapify(self.heap)
             self.compact_at = max(MIN_COMPACT_SIZE, 2 * len(self.heap))
-        entry[-1].place = entry[2]
+        entry[-1].heap_entry = entry[2]
         heappush(self.heap, entry)
 
     @staticmethod
     def _is_current(entry: tuple[float, int, int, Job]) -> bool:
-        return entry[-1].waiting and entry[2] == entry[-1].place
+        return entry[-1].waiting and entry[2] == entry[-1].heap_entry
 
     def pop(self) -> Job:
         """Remove and return the first job; the caller has checked with ``head`` that it waits."""
