--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -242,7 +242,10 @@
     def _retry_or_answer(self, job: Job, attempt: Attempt) -> None:
         """Queue the job again if a retry is allowed, else give the final answer."""
         settings = self.context.settings
-        spent = job.spent(settings.try_limit) or self.context.now >= job.give_up - settings.answer_grace
+        spent = (
+            job.attempts_exhausted(settings.try_limit)
+            or self.context.now >= job.give_up - settings.answer_grace
+        )
         if spent or (job.spec.effect is io.Effect.UNSAFE and not job.never_ran()):
             self._answer_unserved(job, io.GaveUp.NO_RETRY)
         else:
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -50,7 +50,7 @@
 
     def eligible(self, job: Job) -> list[Worker]:
         """Return the listed workers that may get a further attempt of the job."""
-        if job.spent(self.context.settings.try_limit):
+        if job.attempts_exhausted(self.context.settings.try_limit):
             return []
         pool = self.context.fleet.pool(job.spec.kind)
         if job.never_ran() or (job.spec.scope is io.Scope.ALL and any(self.may_repeat(w, job) for w in pool)):
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -211,7 +211,7 @@
         worker.free -= self.slots
         return attempt
 
-    def spent(self, limit: int) -> bool:
+    def attempts_exhausted(self, limit: int) -> bool:
         """Return whether no attempt is left, by the limit at its arrival and by the current one."""
         return len(self.attempts) >= min(self.tries, limit)
 
