--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -171,7 +171,7 @@
             return
         job.answered = True
         del self.jobs[job.id]
-        if job.harmless():
+        if job.retry_is_safe():
             self.context.actions.append(io.Refuse(job.id, self.context.retry_after_us(job), reason))
         else:
             self.context.actions.append(io.Fail(job.id, reason))
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -215,7 +215,7 @@
         """Return whether no attempt is left, by the limit at its arrival and by the current one."""
         return len(self.attempts) >= min(self.tries, limit)
 
-    def harmless(self) -> bool:
+    def retry_is_safe(self) -> bool:
         """Return whether a client may safely send it again, whatever has run so far."""
         everywhere = self.spec.effect is io.Effect.KEYED and self.spec.scope is io.Scope.ALL
         return self.spec.effect is io.Effect.SAFE or everywhere or self.never_ran()
