--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -30,7 +30,7 @@
     def send(self, job: Job, worker: Worker) -> None:
         """Send a job to a worker and schedule the checks of the attempt."""
         context = self.context
-        start_by = job.repeat_by()
+        start_by = job.retry_deadline()
         attempt = job.sent(worker, context.now, self.timeouts.expected_response_time(worker, job))
         if self.slow_start.is_cold(worker):
             worker.cold_left -= job.work
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -220,7 +220,7 @@
         everywhere = self.spec.effect is io.Effect.KEYED and self.spec.scope is io.Scope.ALL
         return self.spec.effect is io.Effect.SAFE or everywhere or self.never_ran()
 
-    def repeat_by(self) -> int:
+    def retry_deadline(self) -> int:
         """Return the latest time at which a further attempt may begin, 0 for no limit."""
         if self.spec.effect is not io.Effect.KEYED:
             return 0
