--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -121,8 +121,8 @@
             self.fleet.renew()
         attach(self, job, sent)
         if not sent and context.should_shed(job, over_share, event):  # unless a cold worker can start it now
-            job.spared, job.bearable, job.rank = True, 0.0, -math.inf
-        if job.spared and not self.selector.best_cold(job):
+            job.immediate_only, job.bearable, job.rank = True, 0.0, -math.inf
+        if job.immediate_only and not self.selector.best_cold(job):
             self._answer_unserved(job, io.GaveUp.OVERLOAD)
         elif not job.open:
             self.enqueue(job)
@@ -216,7 +216,7 @@
             )
             return job.choice is not None or job.queue.pass_over(job)
         job.choice = self.selector.best(job, pool := self.selector.eligible(job))
-        if job.choice or not pool or job.spared:
+        if job.choice or not pool or job.immediate_only:
             return True
         job.narrow = len(pool) < len(context.fleet.pool(job.spec.kind)) or (
             job.work > context.mean_work and any(self.slow_start.is_cold(worker) for worker in pool)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -189,7 +189,9 @@
     streaming: bool = False
     silent: bool = False  # cancelled at a worker where it had begun and gone silent
     hedged: bool = False  # it may be hedged as soon as it seems to be queued at a worker
-    spared: bool = False  # not shed only because a cold worker can begin it at once: sent there or refused
+    immediate_only: bool = (
+        False  # not shed only because a cold worker can begin it at once: sent there or refused
+    )
     bearable: float = 0.0  # expected wait above which a worker counts as busy for this job
     choice: Worker | None = None  # selected when it was found dispatchable at the head of its queue
     look_at: int = 0  # while it is blocked: when to select a worker for it again
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -101,7 +101,7 @@
             for action in actions
             if isinstance(action, io.Send | io.Refuse)
         ]
-    assert not any(job.spared and job.waiting for job in dispatcher.jobs.values())  # no job is held
+    assert not any(job.immediate_only and job.waiting for job in dispatcher.jobs.values())  # no job is held
     assert 0 < ends.count((io.Send, 2)) <= 2
     assert ends.count((io.Refuse, 0)) > 30
 
@@ -117,7 +117,7 @@
     burst = [arrival(request, now=NOW + 10) for request in range(40)]
     actions = dispatcher.handle(NOW + 10, burst)
     assert len(of(io.Refuse, actions)) > 20
-    assert not any(job.spared and job.waiting for job in dispatcher.jobs.values())
+    assert not any(job.immediate_only and job.waiting for job in dispatcher.jobs.values())
     assert [send.worker for send in of(io.Send, actions)].count(2) <= 1
 
 
