--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -196,8 +196,8 @@
         ring = self.tenants.ring
         while (queue := ring.select(self._dispatchable)) is not None:
             job = ring.charge(queue)
-            if job.choice:
-                self.attempts.send(job, job.choice)
+            if job.selected_worker:
+                self.attempts.send(job, job.selected_worker)
             else:  # no eligible worker
                 self._answer_unserved(job, io.GaveUp.NO_WORKER)
         put_back(ring.queues)
@@ -211,12 +211,12 @@
         blocked = context.now < job.look_at and job.list_seen == context.fleet.version
         if blocked and not (job.key and context.freed_workers):  # one may be a home of the key
             estimate = self.selector.estimate
-            job.choice = next(
+            job.selected_worker = next(
                 (worker for worker in context.freed_workers if estimate(worker, job) is not None), None
             )
-            return job.choice is not None or job.queue.pass_over(job)
-        job.choice = self.selector.best(job, pool := self.selector.eligible(job))
-        if job.choice or not pool or job.immediate_only:
+            return job.selected_worker is not None or job.queue.pass_over(job)
+        job.selected_worker = self.selector.best(job, pool := self.selector.eligible(job))
+        if job.selected_worker or not pool or job.immediate_only:
             return True
         job.narrow = len(pool) < len(context.fleet.pool(job.spec.kind)) or (
             job.work > context.mean_work and any(self.slow_start.is_cold(worker) for worker in pool)
