--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -208,7 +208,7 @@
         A blocked head is checked against freed workers only, until its next full selection is due.
         """
         context = self.context
-        blocked = context.now < job.next_check_at and job.list_seen == context.fleet.version
+        blocked = context.now < job.next_check_at and job.checked_list_version == context.fleet.version
         if blocked and not (job.key and context.freed_workers):  # one may be a home of the key
             estimate = self.selector.estimate
             job.selected_worker = next(
@@ -221,7 +221,7 @@
         job.narrow = len(pool) < len(context.fleet.pool(job.spec.kind)) or (
             job.work > context.mean_work and any(self.slow_start.is_cold(worker) for worker in pool)
         )
-        job.list_seen = context.fleet.version
+        job.checked_list_version = context.fleet.version
         job.next_check_at = context.now + max(4000, min(job.spec.objective // 8, 200_000))
         context.call_at(job.next_check_at, context.no_op)
         self.reports.send_probes(job)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -195,7 +195,7 @@
     bearable: float = 0.0  # expected wait above which a worker counts as busy for this job
     selected_worker: Worker | None = None  # selected when it was found dispatchable at the head of its queue
     next_check_at: int = 0  # while it is blocked: when to select a worker for it again
-    list_seen: int = -1  # version of the worker list at the last selection
+    checked_list_version: int = -1  # version of the worker list at the last selection
     narrow: bool = False  # blocked by its own constraints: other jobs of its tenant may find a worker
 
     def is_settled(self) -> bool:
