--- a/carthinge/policy/fair_queueing.py
+++ b/carthinge/policy/fair_queueing.py
@@ -36,7 +36,9 @@
         size = len(self.queues)
         for index in [(self.cursor + step) % size for step in range(size)]:
             queue = self.queues[index]
-            if head := queue.free_head(dispatchable):  # a blocked queue keeps its credit and earns none
+            if head := queue.dispatchable_head(
+                dispatchable
+            ):  # a blocked queue keeps its credit and earns none
                 if queue.deficit < head.cost:
                     queue.deficit += queue.quantum
                 if queue.deficit >= head.cost:
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -247,7 +247,7 @@
         self.compact_at = MIN_COMPACT_SIZE  # size at which stale entries are removed
         self.bypassed: list[tuple[float, int, int, Job]] = []
 
-    def free_head(self, dispatchable: Callable[[Job], bool]) -> Job | None:
+    def dispatchable_head(self, dispatchable: Callable[[Job], bool]) -> Job | None:
         """Return the first job that can be sent, after bypassed ones; an empty queue loses its deficit."""
         while (head := self.head()) is not None:
             if dispatchable(head):
