--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -214,7 +214,7 @@
             job.selected_worker = next(
                 (worker for worker in context.freed_workers if estimate(worker, job) is not None), None
             )
-            return job.selected_worker is not None or job.queue.pass_over(job)
+            return job.selected_worker is not None or job.queue.bypass(job)
         job.selected_worker = self.selector.best(job, pool := self.selector.eligible(job))
         if job.selected_worker or not pool or job.immediate_only:
             return True
@@ -225,7 +225,7 @@
         job.next_check_at = context.now + max(4000, min(job.spec.objective // 8, 200_000))
         context.call_at(job.next_check_at, context.no_op)
         self.reports.send_probes(job)
-        return job.queue.pass_over(job)
+        return job.queue.bypass(job)
 
     def _handle_outcome(self, event: io.Outcome) -> None:
         if not (attempt := self.context.find_attempt(event)) or not attempt.open:
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -257,7 +257,7 @@
         self.deficit *= bool(self.bypassed)
         return None
 
-    def pass_over(self, head: Job) -> bool:
+    def bypass(self, head: Job) -> bool:
         """Set a head aside for the rest of this pass if only its own constraints block it.
 
         Always returns False: the head itself cannot be sent.
