--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -15,7 +15,7 @@
 from carthinge.policy.response_timeouts import EWMA_WEIGHT, MIN_RESPONSE_SHARE
 from carthinge.policy.slow_start import SlowStart
 from carthinge.policy.worker_selection import worker_subset
-from carthinge.records import Attempt, Job, put_back
+from carthinge.records import Attempt, Job, restore_bypassed
 
 MAX_HINT_DEADLINES: Final = 10.0  # of the class's deadline: long jobs have hints of several deadlines
 OVER_SHARE_WAIT_FACTOR: Final = (
@@ -200,7 +200,7 @@
                 self.attempts.send(job, job.selected_worker)
             else:  # no eligible worker
                 self._answer_unserved(job, io.GaveUp.NO_WORKER)
-        put_back(ring.queues)
+        restore_bypassed(ring.queues)
 
     def _dispatchable(self, job: Job) -> bool:
         """Whether the job can leave its queue; False if every eligible worker is busy.
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -293,7 +293,7 @@
         return heap[0][-1] if heap else None
 
 
-def put_back(queues: Iterable[TenantQueue]) -> None:
+def restore_bypassed(queues: Iterable[TenantQueue]) -> None:
     """Push the bypassed jobs back to their heaps."""
     for queue in queues:
         for entry in queue.bypassed:
