--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -27,7 +27,7 @@
         return usual + (self.wait - usual) * math.exp((self.updated_at - now) / 1e6 / RATE_DECAY_S)
 
 
-class Heat:
+class KeyPopularity:
     """Share of each key in recent jobs: counts are halved once they add up to MAX_COUNT."""
 
     MAX_COUNT: Final = 1000
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from carthinge import interface as io
-from carthinge.meters import Heat
+from carthinge.meters import KeyPopularity
 from carthinge.worker_registry import Fleet
 
 ids = st.sets(st.integers(1, 1 << 48), min_size=2, max_size=12)
@@ -74,7 +74,7 @@
 
 @given(st.lists(st.integers(1, 5), max_size=3000))
 def test_key_shares_sum_to_at_most_one(keys):
-    counts = Heat()
+    counts = KeyPopularity()
     for key in keys:
         counts.add(key)
     shares = [counts.share(key) for key in range(1, 6)]
