--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -10,7 +10,7 @@
 from carthinge.fleet import retry_after
 from carthinge.fleet.load_shedding import SheddingLevel, standing
 from carthinge.fleet.retry_budget import RetryBudget
-from carthinge.meters import KeyPopularity, Queue, Rate
+from carthinge.meters import KeyPopularity, QueueWait, Rate
 from carthinge.records import Attempt, Job, Worker, mix
 from carthinge.timers import Timers
 from carthinge.worker_registry import Fleet, Loads
@@ -70,7 +70,7 @@
         self.served, self.arrivals = Rate(), Rate()
         self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
-        self.key_shares, self.start_wait = KeyPopularity(), Queue()
+        self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
         self.carried = Rate()  # work that a mean warm worker serves for this dispatcher
         self._mean_capacity_share, self._warm_worker_count, self._capacity_valid_until = 1.0, 0, 0
 
--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Queue:
+class QueueWait:
     """Moving average of the queue wait at one worker or at all; it includes the load of other dispatchers."""
 
     wait: float = 0.0
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from carthinge import interface as io
-from carthinge.meters import Queue
+from carthinge.meters import QueueWait
 
 HASH_MULTIPLIER: Final = 0x9E3779B97F4A7C15
 HASH_MASK: Final = (1 << 64) - 1
@@ -62,7 +62,7 @@
     refusals: int = 0  # consecutive
     errors: int = 0  # consecutive
     heard_at: int = 0  # last answer, start or progress report
-    queue: Queue = field(default_factory=lambda: Queue())
+    queue: QueueWait = field(default_factory=lambda: QueueWait())
     sent_at: int = -(1 << 62)  # when this dispatcher last sent it a job; far in the past for never
     well_at: int = 0  # when a job last ended there within its expected running time
     cold_slot: int = -1  # number of the slow-start window that cold_left applies to
