--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -22,7 +22,7 @@
         self.wait += (wait - self.wait) * gain
         self.updated_at = now
 
-    def left(self, now: int, usual: float = 0.0) -> float:
+    def expected(self, now: int, usual: float = 0.0) -> float:
         """Return the expected wait: it decays from the last average to ``usual``."""
         return usual + (self.wait - usual) * math.exp((self.updated_at - now) / 1e6 / RATE_DECAY_S)
 
--- a/carthinge/policy/response_timeouts.py
+++ b/carthinge/policy/response_timeouts.py
@@ -38,7 +38,7 @@
         run = 0.0 if self.context.settings.tells_start else job.work * self.context.slowdown(worker)
         # A wait that is usual at all workers is not silence.
         unreported = self.context.settings.reports is io.Reports.OFF
-        wait = self.context.start_wait.left(self.context.now) if unreported else 0.0
+        wait = self.context.start_wait.expected(self.context.now) if unreported else 0.0
         return (
             job.spec.objective * MIN_RESPONSE_SHARE
             + run
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -202,9 +202,11 @@
         wait = work * (FITTING_WORK_WEIGHT + min(1.0, queued))
         if settings.reports is io.Reports.OFF:  # only the waits for starts show what others have sent
             now, others = self.context.now, 1 - 1 / settings.instances
-            typical = min(self.context.start_wait.left(now), MAX_TYPICAL_WAIT * self.context.min_objective())
+            typical = min(
+                self.context.start_wait.expected(now), MAX_TYPICAL_WAIT * self.context.min_objective()
+            )
             typical *= not self.slow_start.is_cold(worker)  # slow start keeps queues off cold workers
-            wait = max(wait, others * worker.queue.left(now, typical))
+            wait = max(wait, others * worker.queue.expected(now, typical))
         if rated and settings.weights is io.Weights.LIVE:
             held = worker.kind_stats.size / worker.entry.rating - 1.0
             wait = max(
