--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -204,7 +204,7 @@
     def retry_after_us(self, job: Job) -> int:
         """Return the delay before a refused client may retry; 0 where the settings give none."""
         settings = self.settings
-        room = retry_after.until_room(len(self.jobs) * self.mean_work, self.served.left(self.now))
+        room = retry_after.until_room(len(self.jobs) * self.mean_work, self.served.current(self.now))
         point = mix(settings.position << 40 ^ job.id)
         limit = settings.max_retry_after * settings.may_advise
         return retry_after.stay_away(room, job.spec.objective, limit, point)
--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -70,10 +70,10 @@
         """Add an amount, scaled up at first: a rate whose counting has just begun would be too low."""
         if self.first_at is None:
             self.first_at = self.since = now
-        self.per_s = self.left(now) + amount / RATE_DECAY_S / self._counted_share(now)
+        self.per_s = self.current(now) + amount / RATE_DECAY_S / self._counted_share(now)
         self.since = now
 
-    def left(self, now: int) -> float:
+    def current(self, now: int) -> float:
         """Return the rate at ``now``, decayed since the last count."""
         decay = math.exp((self.since - now) / 1e6 / RATE_DECAY_S)
         return self.per_s * decay * self._counted_share(self.since) / self._counted_share(now)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -25,7 +25,7 @@
     age = min(10.0, max(1.0, (count - 1) / per_s))
     assert abs(rate.per_s - per_s) < 0.05 * per_s + 1.1 / age  # includes the first sample
     quiet = start + int((count - 1) / per_s * 1e6) + 30_000_000
-    assert rate.left(quiet) < 0.1 * rate.per_s
+    assert rate.current(quiet) < 0.1 * rate.per_s
 
 
 def test_cold_runs_do_not_change_learned_slowdown():
