--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -118,7 +118,7 @@
         context.mean_work += (work - context.mean_work) * EWMA_WEIGHT / 5
         context.arrivals.add(1.0, context.now)
         if event.key and context.key_shares.add(event.key):
-            self.fleet.renew()
+            self.fleet.list_changed()
         attach(self, job, sent)
         if not sent and context.should_shed(job, over_share, event):  # unless a cold worker can start it now
             job.immediate_only, job.bearable, job.rank = True, 0.0, -math.inf
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -112,7 +112,7 @@
             known.kind_stats = self.kinds.setdefault(entry.kind, known.kind_stats)
             changed |= known.apply_entry(entry, entry.worker in self.out)
         if changed:
-            self.renew()
+            self.list_changed()
 
     def retune(self, kinds: Sequence[int] | None) -> None:
         """Apply new settings: the statistics of a machine kind move to its new position.
@@ -122,7 +122,7 @@
         if kinds is not None:
             before, self.kinds = self.kinds, {}
             self.kinds.update({now: before[was] for now, was in enumerate(kinds) if was in before})
-        self.renew()
+        self.list_changed()
 
     def by_hand(self, event: io.ByHand, cap: float, now: int) -> None:
         """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
@@ -132,7 +132,7 @@
         (self.out.add if event.out else self.out.discard)(event.worker)
         if worker:
             worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.out
-        self.renew()
+        self.list_changed()
 
     def told(self, event: io.Message) -> None:
         """Replace a peer's outstanding load by that of its latest message."""
@@ -167,7 +167,7 @@
         for other in self.kinds.values() if rated and kind.size > 0 else ():
             other.slots = max(other.slots, round(slots * other.size / kind.size))
 
-    def renew(self) -> None:
+    def list_changed(self) -> None:
         """Drop the caches; to be called after any change of the list."""
         self.version += 1
         self._pools.clear()
