--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -40,7 +40,7 @@
             self._schedule_first_calls()
         else:
             self._failures = 0
-        context.fleet.take(event, INITIAL_CAP_SLOTS)
+        context.fleet.apply_list(event, INITIAL_CAP_SLOTS)
 
     def _schedule_first_calls(self) -> None:
         """Spread the first watches of all schedulers over time: discovery has a fixed capacity."""
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -99,7 +99,7 @@
         """Return the mean slowdown over all known machine kinds."""
         return sum(kind.slowdown for kind in self.kinds.values()) / len(self.kinds) if self.kinds else 1.0
 
-    def take(self, event: io.WorkerList, cap: float) -> None:
+    def apply_list(self, event: io.WorkerList, cap: float) -> None:
         """Apply a worker list from discovery; ``cap`` is for workers not known before."""
         changed = event.listing is not io.Listing.CHANGES
         if changed:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -16,7 +16,7 @@
 
 def fleet_of(workers):
     fleet = Fleet(False, lambda pool: pool)
-    fleet.take(listing(*workers), 4.0)
+    fleet.apply_list(listing(*workers), 4.0)
     return fleet
 
 
