--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -48,7 +48,7 @@
             io.WorkerList: DiscoveryEvents(context).handle_list,
             io.ByHand: lambda event: context.fleet.set_excluded(event, INITIAL_CAP_SLOTS, context.now),
             io.ProbeResult: self.reports.handle_probe_result,
-            io.Message: context.fleet.told,
+            io.Message: context.fleet.apply_peer_load,
             io.Abandoned: self._handle_abandoned,
             io.StreamStarted: self._handle_stream_started,
             io.Retune: self._configure,
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -134,7 +134,7 @@
             worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.out
         self.list_changed()
 
-    def told(self, event: io.Message) -> None:
+    def apply_peer_load(self, event: io.Message) -> None:
         """Replace a peer's outstanding load by that of its latest message."""
         for worker, slots, work in self._peers.pop(event.sender, ()):
             worker.peer_slots -= slots
