--- a/carthinge/policy/load_reports.py
+++ b/carthinge/policy/load_reports.py
@@ -27,7 +27,7 @@
             return
         free = values["free_slots"]
         held = values.get("held", 0.0) if free > 0.5 else 0.0
-        self.context.fleet.shown(
+        self.context.fleet.record_slots(
             worker.kind_stats,
             round(free + held),
             rated=settings.weights in (io.Weights.NOMINAL, io.Weights.ROUGH),
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -155,7 +155,7 @@
             for worker in self.workers.values()
         )
 
-    def shown(self, kind: Kind, slots: float, rated: bool) -> None:
+    def record_slots(self, kind: Kind, slots: float, rated: bool) -> None:
         """Record the slots that a worker of a kind reported; scale those of other kinds if ratings are sizes.
 
         Without that, a kind whose slots another dispatcher keeps full would never report free ones: this
