--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -267,7 +267,7 @@
             "attempts": counters.attempts_written,
             "in_flight": self.tracker.in_flight(),
             "workers_known": len(self.table.listed),
-            "workers_excluded": fleet.excluded(self.loop.now // MICROSECOND),
+            "workers_excluded": fleet.excluded_count(self.loop.now // MICROSECOND),
             "overload": self.dispatcher.context.level.figures() | self.dispatcher.context.budget.figures(),
             "reloads_ok": counters.reloads_ok,
             "reloads_failed": counters.reloads_failed,
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -148,7 +148,7 @@
             worker.peer_slots += slots
             worker.peer_work += work
 
-    def excluded(self, now: int) -> int:
+    def excluded_count(self, now: int) -> int:
         """Count the listed workers that currently get no jobs, whether excluded by operators or avoided."""
         return sum(
             worker.listed and (worker.id in self.out or worker.avoid_until > now)
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -129,9 +129,9 @@
     for now, event in enumerate([listing(1, kind=io.Listing.CHANGES), restarted], 10):
         sends = of(io.Send, dispatcher.handle(now, [event, arrival(now, now=now)]))
         assert [send.worker for send in sends] == [2]
-    assert dispatcher.fleet.excluded(20) == 1
+    assert dispatcher.fleet.excluded_count(20) == 1
     dispatcher.handle(21, [listing(2, kind=io.Listing.WHOLE)])  # unlisted workers are not counted
-    assert dispatcher.fleet.excluded(22) == 0
+    assert dispatcher.fleet.excluded_count(22) == 0
 
 
 def test_exclusion_applies_to_same_batch():
