--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -113,7 +113,7 @@
         spread = int(
             KEY_SPREAD_FACTOR * self.context.key_shares.share(job.key) * len(fleet.pool(-1)) * others
         )
-        return spread, fleet.homes(job.key, spread + KEY_HOME_COUNT)
+        return spread, fleet.workers_for_key(job.key, spread + KEY_HOME_COUNT)
 
     def candidates(self, job: Job, pool: list[Worker], homes: list[Worker]) -> list[Worker]:
         """Return the workers to examine: the pool, or a sample of a large one."""
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -216,7 +216,7 @@
             self._order_ranks = {worker.id: rank for rank, worker in enumerate([fleet[start], *rest])}
         return sorted(pool, key=lambda worker: self._order_ranks.get(worker.id, len(self._order_ranks)))
 
-    def homes(self, key: int, count: int) -> list[Worker]:
+    def workers_for_key(self, key: int, count: int) -> list[Worker]:
         """Return the workers that a key belongs to, by rendezvous hashing; the first most likely holds it.
 
         Each worker gets the same number of keys, and only the keys of a leaving worker move.
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -25,17 +25,17 @@
     leaving = data.draw(st.sampled_from(sorted(workers)))
     before, after = fleet_of(workers), fleet_of(workers - {leaving})
     for key in range(1, 60):
-        homes = [worker.id for worker in before.homes(key, 3)]
-        assert [worker.id for worker in after.homes(key, 2)] == [home for home in homes if home != leaving][
-            :2
-        ]
+        homes = [worker.id for worker in before.workers_for_key(key, 3)]
+        assert [worker.id for worker in after.workers_for_key(key, 2)] == [
+            home for home in homes if home != leaving
+        ][:2]
 
 
 @given(st.sets(st.integers(1, 1 << 48), min_size=10, max_size=10))
 def test_keys_spread_evenly_over_workers(workers):
     """With one point each on a hash ring, one worker of ten has three tenths of all keys on average."""
     fleet = fleet_of(workers)
-    first = Counter(fleet.homes(key, 1)[0].id for key in range(1, 1001))
+    first = Counter(fleet.workers_for_key(key, 1)[0].id for key in range(1, 1001))
     assert len(first) == 10 and max(first.values()) < 150
 
 
