--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -80,7 +80,7 @@
         best, least, ties = None, math.inf, 0
         spread, homes = self.key_homes(job)
         own = (
-            self.context.fleet.order(homes[: spread + 1] or pool, self.context.settings)
+            self.context.fleet.preference_order(homes[: spread + 1] or pool, self.context.settings)
             if self.uses_own_order
             else []
         )
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -201,7 +201,7 @@
                 self._groups[id(pool)] = groups
         return groups
 
-    def order(self, pool: list[Worker], settings: io.Settings) -> list[Worker]:
+    def preference_order(self, pool: list[Worker], settings: io.Settings) -> list[Worker]:
         """Return a pool in this dispatcher's own order.
 
         The first worker follows from the dispatcher's position, so that all dispatchers together cover the
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -86,7 +86,7 @@
     fleets = [fleet_of(range(1, 61)) for _ in range(120)]
     configs = [settings(position=position, instances=120) for position in range(120)]
     orders = [
-        [worker.id for worker in fleet.order(fleet.pool(-1), own)]
+        [worker.id for worker in fleet.preference_order(fleet.pool(-1), own)]
         for fleet, own in zip(fleets, configs, strict=True)
     ]
     assert all(sorted(order) == list(range(1, 61)) for order in orders)
