--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class ByHand:
+class OperatorExclusion:
     """An operator excludes a worker or ends its exclusion; worker lists do not change that."""
 
     worker: int
@@ -211,7 +211,7 @@
 
 Event = (
     WorkerList
-    | ByHand
+    | OperatorExclusion
     | Inherit
     | Leave
     | TakeOver
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -46,7 +46,9 @@
             io.Note: self.attempts.handle_progress,
             io.Timer: context.no_op,
             io.WorkerList: DiscoveryEvents(context).handle_list,
-            io.ByHand: lambda event: context.fleet.set_excluded(event, INITIAL_CAP_SLOTS, context.now),
+            io.OperatorExclusion: lambda event: context.fleet.set_excluded(
+                event, INITIAL_CAP_SLOTS, context.now
+            ),
             io.ProbeResult: self.reports.handle_probe_result,
             io.Message: context.fleet.apply_peer_load,
             io.Abandoned: self._handle_abandoned,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -17,7 +17,7 @@
 
 from carthinge.front.frontend import Frontend
 from carthinge.front.operator import MAX_CONNECTIONS, Operator
-from carthinge.interface import ByHand, Inherit, Listing, Retune, WorkerList
+from carthinge.interface import Inherit, Listing, OperatorExclusion, Retune, WorkerList
 from carthinge.net import log
 from carthinge.net.channel import State
 from carthinge.net.config import Config, ConfigError
@@ -293,7 +293,7 @@
         known = confirmed or worker in self.table.listed or number in self.dispatcher.fleet.out
         if known:
             log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
-            self.tracker.tell(ByHand(number, excluded))
+            self.tracker.tell(OperatorExclusion(number, excluded))
             if number in self.table.targets:
                 self.worker_client.close_idle(self.table.targets[number].address)
         return known
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -124,7 +124,7 @@
             self.kinds.update({now: before[was] for now, was in enumerate(kinds) if was in before})
         self.list_changed()
 
-    def set_excluded(self, event: io.ByHand, cap: float, now: int) -> None:
+    def set_excluded(self, event: io.OperatorExclusion, cap: float, now: int) -> None:
         """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
         worker = self.workers.get(event.worker)
         if worker and event.worker in self.out and not event.out:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -368,7 +368,7 @@
     """At the head of its tenant's queue it waited for a warm worker and blocked the jobs behind it."""
     dispatcher, now = with_reported_slots()
     began = io.WorkerEntry(1, started=now)
-    dispatcher.handle(now, [listing(began, kind=io.Listing.CHANGES), io.ByHand(2, True)])
+    dispatcher.handle(now, [listing(began, kind=io.Listing.CHANGES), io.OperatorExclusion(2, True)])
     assert not of(io.Send, dispatcher.handle(now + 1, [arrival(100, now=now, hint=4_000_000)]))
     later = dispatcher.handle(now + 2, [arrival(101, job_class=1, now=now)])
     assert [send.request for send in of(io.Send, later)] == [101]
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -124,7 +124,7 @@
 
 def test_excluded_worker_gets_no_jobs_when_listed():
     dispatcher = started(settings(), 1, 2)
-    dispatcher.handle(1, [io.ByHand(1, True)])
+    dispatcher.handle(1, [io.OperatorExclusion(1, True)])
     restarted = listing(io.WorkerEntry(1, started=5), 2, kind=io.Listing.WHOLE)
     for now, event in enumerate([listing(1, kind=io.Listing.CHANGES), restarted], 10):
         sends = of(io.Send, dispatcher.handle(now, [event, arrival(now, now=now)]))
@@ -136,7 +136,7 @@
 
 def test_exclusion_applies_to_same_batch():
     dispatcher = started(settings(), 1)
-    assert not of(io.Send, dispatcher.handle(1, [arrival(1, now=1), io.ByHand(1, True)]))
+    assert not of(io.Send, dispatcher.handle(1, [arrival(1, now=1), io.OperatorExclusion(1, True)]))
 
 
 def test_readmitted_worker_is_cold_with_new_record():
@@ -145,8 +145,8 @@
     serve(dispatcher, 400, 20_000)
     now = 8_000_000
     dispatcher.fleet.workers[1].avoid_until, dispatcher.fleet.workers[1].outstanding_slots = now + 10**9, 50.0
-    dispatcher.handle(now, [io.ByHand(1, True)])
-    dispatcher.handle(now + 1, [io.ByHand(1, False)])
+    dispatcher.handle(now, [io.OperatorExclusion(1, True)])
+    dispatcher.handle(now + 1, [io.OperatorExclusion(1, False)])
     dispatcher.handle(now + 2, [listing(1, 2, kind=io.Listing.WHOLE)])  # with its earlier start time
     sent = [
         send.worker
@@ -166,7 +166,7 @@
     dispatcher = started(settings(), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
-        dispatcher.handle(2, [io.ByHand(1, out)])
+        dispatcher.handle(2, [io.OperatorExclusion(1, out)])
     assert dispatcher.fleet.workers[1].outstanding_slots == 0
     dispatcher.handle(3, [outcome(1, 0, 1, io.Result.OK)])
     assert dispatcher.fleet.workers[1].outstanding_slots == 0
@@ -176,7 +176,7 @@
     dispatcher = started(settings(UNSAFE, try_limit=3, cold_time=0), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
-        dispatcher.handle(2, [io.ByHand(1, out)])
+        dispatcher.handle(2, [io.OperatorExclusion(1, out)])
     assert not of(io.Send, dispatcher.handle(3, [outcome(1, 0, 1, io.Result.RESET)]))
 
 
@@ -190,7 +190,7 @@
             step * 20_000 + 1, [outcome(step, 0, s.worker, io.Result.OK, report=(3.0,)) for s in sends]
         )
     for worker, out in ((1, True), (1, False), (2, True)):
-        dispatcher.handle(1_000_000, [io.ByHand(worker, out)])
+        dispatcher.handle(1_000_000, [io.OperatorExclusion(worker, out)])
     sent, running = 0, []
     for step in range(100):  # one window of rule 4; jobs run as long as hinted
         now = 1_000_001 + step * 20_000
