--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True)
-class Retune:
+class SettingsChange:
     """New settings for jobs that arrive from now on; open jobs keep the class they arrived with."""
 
     settings: Settings
@@ -217,7 +217,7 @@
     | TakeOver
     | Restore
     | GiveAway
-    | Retune
+    | SettingsChange
     | Arrival
     | StreamStarted
     | Outcome
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -39,7 +39,9 @@
         )
         self.spans: list[int] = []  # of each class, the longest time from an arrival to its give_up
         self.queue_sequence = 0
-        self._configure(io.Retune(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants)))
+        self._configure(
+            io.SettingsChange(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants))
+        )
         self.handlers: dict[type, Callable[..., None]] = {
             io.Arrival: self.arrive,
             io.Outcome: self._handle_outcome,
@@ -53,7 +55,7 @@
             io.Message: context.fleet.apply_peer_load,
             io.Abandoned: self._handle_abandoned,
             io.StreamStarted: self._handle_stream_started,
-            io.Retune: self._configure,
+            io.SettingsChange: self._configure,
             **handlers(self),
         }
 
@@ -69,7 +71,7 @@
             context.actions.append(io.SetTimer(wake, wake))
         return context.actions
 
-    def _configure(self, event: io.Retune) -> None:
+    def _configure(self, event: io.SettingsChange) -> None:
         """Apply new settings; what was learned of classes and tenants stays."""
         settings = event.settings
         all_new = all(old < 0 for old in event.classes)  # nothing is known of their jobs
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -17,7 +17,7 @@
 
 from carthinge.front.frontend import Frontend
 from carthinge.front.operator import MAX_CONNECTIONS, Operator
-from carthinge.interface import Inherit, Listing, OperatorExclusion, Retune, WorkerList
+from carthinge.interface import Inherit, Listing, OperatorExclusion, SettingsChange, WorkerList
 from carthinge.net import log
 from carthinge.net.channel import State
 from carthinge.net.config import Config, ConfigError
@@ -341,7 +341,7 @@
         before, site = self.config.site, config.site
         self.config = replace(self.config, discovery=config.discovery, site=site, shape=config.shape)
         self.tracker.tell(
-            Retune(
+            SettingsChange(
                 site.decisions,
                 positions(site.classes, before.classes),
                 positions(site.tenants, before.tenants),
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -144,7 +144,7 @@
     dispatcher.handle(1, [arrival(1, 1, now=1, tenant=2)])
     assert third.head() is not None
     new = settings(SAFE, tenants=(io.Tenant(0.6), io.Tenant(0.4)), may_copy=False)
-    dispatcher.handle(2, [io.Retune(new, [0], [1, -1])])
+    dispatcher.handle(2, [io.SettingsChange(new, [0], [1, -1])])
     assert ring.queues[0] is second and second.deficit == 0.0  # an empty queue loses its deficit
     assert (
         ring.queues[2] is third and first not in ring.queues
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -51,7 +51,7 @@
 def test_new_classes_reset_averages():
     """The averages of long jobs made timeouts and slow start wrong for short ones for minutes."""
     dispatcher, fresh = trained_dispatcher(), started(settings(SHORT, instances=40), 1, 2)
-    dispatcher.handle(30_000_000, [io.Retune(settings(SHORT, instances=40), [-1], [-1, -1])])
+    dispatcher.handle(30_000_000, [io.SettingsChange(settings(SHORT, instances=40), [-1], [-1, -1])])
     context, timeouts = dispatcher.context, dispatcher.timeouts
     assert context.mean_work == fresh.context.mean_work and dispatcher.spans == fresh.spans
     assert (timeouts.patience, timeouts.run_patience, timeouts.prompt) == (
@@ -67,7 +67,7 @@
 def test_averages_follow_class_names():
     dispatcher = trained_dispatcher()
     work, span = dispatcher.context.mean_work, dispatcher.spans[0]
-    dispatcher.handle(30_000_000, [io.Retune(settings(UNSAFE, SAFE), [1, 0], [0, 1])])
+    dispatcher.handle(30_000_000, [io.SettingsChange(settings(UNSAFE, SAFE), [1, 0], [0, 1])])
     assert dispatcher.context.mean_work == work and dispatcher.spans == [0, span]
 
 
@@ -76,7 +76,7 @@
     dispatcher = trained_dispatcher()
     short = replace(SAFE, deadline=800_000)
     now = 30_000_000
-    dispatcher.handle(now, [io.Retune(settings(short, UNSAFE), [0, 1], [0, 1])])
+    dispatcher.handle(now, [io.SettingsChange(settings(short, UNSAFE), [0, 1], [0, 1])])
     for worker in dispatcher.fleet.workers.values():
         worker.avoid(now + 10**9)
     dispatcher.handle(now, [io.Arrival(900, 0, now + 800_000, hint=50_000)])
@@ -87,7 +87,7 @@
     many = settings(SAFE, instances=200, position=7, price_connection=0.02)
     dispatcher = started(settings(SAFE, instances=1, price_connection=0.02), *range(1, 101))
     assert len(dispatcher.fleet.near) == 100
-    dispatcher.handle(1, [io.Retune(many, [0], [0, 1])])
+    dispatcher.handle(1, [io.SettingsChange(many, [0], [0, 1])])
     assert len(dispatcher.fleet.near) < 100
 
 
@@ -121,7 +121,11 @@
     dispatcher.fleet.kinds[0].slowdown, dispatcher.fleet.kinds[1].slowdown = 3.0, 0.5
     swapped = [replace(entry, kind=1 - entry.kind) for entry in entries]
     dispatcher.handle(
-        1, [io.Retune(settings(SAFE, kinds=2), [0], [0, 1], [1, 0]), listing(*swapped, kind=io.Listing.WHOLE)]
+        1,
+        [
+            io.SettingsChange(settings(SAFE, kinds=2), [0], [0, 1], [1, 0]),
+            listing(*swapped, kind=io.Listing.WHOLE),
+        ],
     )
     assert dispatcher.fleet.kinds[1].slowdown == dispatcher.fleet.workers[1].kind_stats.slowdown == 3.0
     assert dispatcher.fleet.kinds[0].slowdown == dispatcher.fleet.workers[2].kind_stats.slowdown == 0.5
