--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -28,10 +28,10 @@
     Refuse,
     Result,
     Send,
+    SendMessage,
     SetTimer,
     State,
     StreamStarted,
-    Tell,
     Timer,
     Watch,
     WorkerEntry,
@@ -103,7 +103,10 @@
     Cancel: (Act.WITHDRAW, lambda instance, a: (instance, a.request, a.attempt)),
     Probe: (Act.PROBE, lambda instance, a: (instance, _wire_worker(a.worker))),
     SetTimer: (Act.SLEEP, lambda instance, a: (instance, a.token, a.due)),
-    Tell: (Act.MEMO_TO, lambda instance, a: (instance, wire.EVERY_PEER if a.to is None else a.to, a.body)),
+    SendMessage: (
+        Act.MEMO_TO,
+        lambda instance, a: (instance, wire.EVERY_PEER if a.to is None else a.to, a.body),
+    ),
     Watch: (Act.WATCH, lambda instance, a: (instance, 1)),
     LogLine: (Act.LOG, lambda instance, a: (instance, a.text.encode()[:200])),
 }
--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -294,7 +294,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendMessage:
     """Send bytes to one other dispatcher, or to all if ``to`` is None."""
 
     body: bytes
@@ -313,4 +313,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Tell | Watch | LogLine
+Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | SendMessage | Watch | LogLine
--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -110,7 +110,7 @@
             io.SetTimer: self._set_timer,
             io.Probe: self._probe,
             io.Watch: self._watch,
-            io.Tell: self._send_message,
+            io.SendMessage: self._send_message,
             io.LogLine: lambda _: None,
         }
 
@@ -285,7 +285,7 @@
     def _watch(self, _: io.Watch) -> None:
         self._environment.watch(self)
 
-    def _send_message(self, action: io.Tell) -> None:
+    def _send_message(self, action: io.SendMessage) -> None:
         self._environment.send_message(self, action.body, action.to)
 
     def _forget_if_finished(self, tracked: TrackedRequest) -> None:
--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -57,7 +57,7 @@
     def _send_loads(self) -> None:
         """Send this scheduler's outstanding work to the others, as often as the price of messages allows."""
         context, body = self.context, self.context.encode_loads()
-        context.actions.append(io.Tell(body))
+        context.actions.append(io.SendMessage(body))
         cost = context.settings.price_message * (len(body) + 8) / 256 * (context.settings.instances - 1)
         interval = cost / (MESSAGE_COST_PER_JOB * max(context.arrivals.per_s, 0.1)) * 1e6
         context.call_at(context.now + max(MIN_MESSAGE_INTERVAL_US, int(interval)), self._send_loads)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -131,7 +131,7 @@
     config = settings(may_tell=True, instances=2, price_message=0.01)
     sender, receiver = started(config, 1, 2), started(config, 1, 2)
     busy = of(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
-    told = of(io.Tell, sender.handle(60_000, [io.Timer(0)]))
+    told = of(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
     receiver.handle(70_000, [io.Message(1, told[0].body)])
     assert of(io.Send, receiver.handle(70_001, [arrival(5)]))[0].worker == 3 - busy
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,7 +90,7 @@
             assert action.attempt < len(self.requests[action.request].tries)
         elif isinstance(action, io.Probe):
             assert self.config.may_probe
-        elif isinstance(action, io.Tell):
+        elif isinstance(action, io.SendMessage):
             assert self.config.may_tell and len(action.body) <= 256
 
     def check_send(self, action):
