--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -21,10 +21,10 @@
     Listing,
     LogLine,
     Message,
-    Note,
     Outcome,
     Probe,
     ProbeResult,
+    ProgressReport,
     Refuse,
     Result,
     Send,
@@ -75,9 +75,9 @@
     return Outcome(request, attempt, worker_id(worker), RESULTS[status], latency, bool(finished), report)
 
 
-def _note(fields: Fields) -> Note:
+def _note(fields: Fields) -> ProgressReport:
     _, request, attempt, worker, note_kind, done = fields
-    return Note(request, attempt, worker_id(worker), None if note_kind == 1 else done)
+    return ProgressReport(request, attempt, worker_id(worker), None if note_kind == 1 else done)
 
 
 TRANSLATORS: Final[dict[int, Callable[[Fields], Event]]] = {
--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -120,7 +120,7 @@
         """Return the run time of a started attempt by its hint, plus the objective as a margin of error."""
         return attempt.job.work * self.slowdown(attempt.worker, attempt.begun) + attempt.job.spec.objective
 
-    def find_attempt(self, event: io.Note | io.Outcome | io.StreamStarted) -> Attempt | None:
+    def find_attempt(self, event: io.ProgressReport | io.Outcome | io.StreamStarted) -> Attempt | None:
         """Return the attempt that an event names, or None if its job is unknown."""
         job = self.jobs.get(event.request)
         return job.attempts[event.attempt] if job and event.attempt < len(job.attempts) else None
--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -160,7 +160,7 @@
 
 
 @dataclass(slots=True)
-class Note:
+class ProgressReport:
     """A report on an open attempt: that it has begun (``done`` is None), the share done, or only a heartbeat
     of its worker (``begun`` is False)."""
 
@@ -222,7 +222,7 @@
     | StreamStarted
     | Outcome
     | Abandoned
-    | Note
+    | ProgressReport
     | ProbeResult
     | Message
     | FleetView
--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -157,7 +157,7 @@
         """Receive a progress report on an attempt."""
         if attempt.open:
             self.handle_event(
-                io.Note(attempt.tracked.number, attempt.number, attempt.worker.entry.worker, done)
+                io.ProgressReport(attempt.tracked.number, attempt.number, attempt.worker.entry.worker, done)
             )
 
     def report_result(self, attempt: Attempt, result: io.Result, report: tuple[float, ...]) -> None:
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -203,7 +203,7 @@
         """Report progress of an open attempt, at the least that its worker has received it."""
         if attempt.open:
             self.events.append(
-                io.Note(attempt.tracked.number, attempt.number, attempt.target.number, done, begun)
+                io.ProgressReport(attempt.tracked.number, attempt.number, attempt.target.number, done, begun)
             )
 
     def end(
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -55,7 +55,7 @@
                 if attempt.open and attempt is not kept
             )
 
-    def handle_progress(self, event: io.Note) -> None:
+    def handle_progress(self, event: io.ProgressReport) -> None:
         """Handle a worker's report that an attempt has started or is running."""
         if attempt := self.context.find_attempt(event):
             self.ejector.mark_responsive(attempt.worker)
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -45,7 +45,7 @@
         self.handlers: dict[type, Callable[..., None]] = {
             io.Arrival: self.arrive,
             io.Outcome: self._handle_outcome,
-            io.Note: self.attempts.handle_progress,
+            io.ProgressReport: self.attempts.handle_progress,
             io.Timer: context.no_op,
             io.WorkerList: DiscoveryEvents(context).handle_list,
             io.OperatorExclusion: lambda event: context.fleet.set_excluded(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -37,7 +37,7 @@
     for step in range(40):
         now = NOW + step * 100_000
         assert of(io.Send, dispatcher.handle(now, [arrival(step, now=now)])) or step
-        dispatcher.handle(now, [io.Note(step, 0, 1, begun=True)])
+        dispatcher.handle(now, [io.ProgressReport(step, 0, 1, begun=True)])
         warmed_up = min(1.0, (now + 30_000 - NOW) / settings().cold_time)
         ends = now + int(50_000 / (share + (1 - share) * warmed_up))
         dispatcher.handle(ends, [outcome(step, 0, 1, io.Result.OK)])
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -92,7 +92,9 @@
             ends = begins + int(dispatcher.jobs[action.request].work / self.capacity_share(worker, begins))
             slots[first] = ends
             number = len(dispatcher.jobs[action.request].attempts) - 1
-            self.schedule(begins + 500, position, io.Note(action.request, number, worker, begun=True))
+            self.schedule(
+                begins + 500, position, io.ProgressReport(action.request, number, worker, begun=True)
+            )
             self.schedule(
                 ends + 500, position, outcome(action.request, number, worker, io.Result.OK, ends - now)
             )
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -52,7 +52,7 @@
 def test_unsafe_job_is_not_retried_after_start():
     dispatcher = started(settings(UNSAFE), 1, 2, 3)
     first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-    dispatcher.handle(2, [io.Note(1, 0, first)])
+    dispatcher.handle(2, [io.ProgressReport(1, 0, first)])
     again = dispatcher.handle(4_000_000, [io.Timer(0), outcome(1, 0, first, R.CANCELLED)])
     assert not of(io.Send, again) and of(io.Fail, again)
     first = of(io.Send, dispatcher.handle(4_000_001, [arrival(2, now=4_000_001)]))[0].worker
@@ -88,7 +88,7 @@
     """Start a job; return its worker."""
     dispatcher.handle(1, [io.Arrival(request, 0, timeout, hint=50_000)])
     worker = dispatcher.jobs[request].attempts[0].worker.id
-    dispatcher.handle(2, [io.Note(request, 0, worker)])
+    dispatcher.handle(2, [io.ProgressReport(request, 0, worker)])
     return worker
 
 
@@ -97,7 +97,7 @@
     dispatcher = started(settings(LONG, progress=INTERVAL), 1, 2)
     worker = start_job(dispatcher)
     for at in range(1, 5):
-        assert not of(io.Send, dispatcher.handle(at * INTERVAL, [io.Note(1, 0, worker, 0.1 * at)]))
+        assert not of(io.Send, dispatcher.handle(at * INTERVAL, [io.ProgressReport(1, 0, worker, 0.1 * at)]))
     assert not of(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 12 // 5, [io.Timer(0)]))
     assert len(of(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 13 // 5, [io.Timer(0)]))) == 1
 
@@ -106,7 +106,7 @@
     dispatcher = started(settings(LONG, progress=INTERVAL), 1)
     start_job(dispatcher, 1), start_job(dispatcher, 2)
     dispatcher.handle(3, [listing(2, kind=io.Listing.CHANGES)])
-    told = [dispatcher.handle(at * INTERVAL, [io.Note(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
+    told = [dispatcher.handle(at * INTERVAL, [io.ProgressReport(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
     assert [send.request for batch in told for send in of(io.Send, batch)] == [1]
 
 
@@ -143,7 +143,7 @@
         dispatcher.handle(
             now + 1,
             [
-                io.Note(now, 0, worker),
+                io.ProgressReport(now, 0, worker),
                 outcome(
                     now,
                     0,
@@ -170,7 +170,7 @@
 
 def test_worker_with_queued_job_gets_no_more():
     """Others hold its slots: further jobs would queue there, where worth and shares do not apply."""
-    for told in (io.Note(1, 0, 1), outcome(1, 0, 1, R.OK)):
+    for told in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
         dispatcher = started(settings(may_copy=False, may_cancel=False), 1)
         assert of(io.Send, dispatcher.handle(1, [arrival()]))
         assert of(io.Send, dispatcher.handle(2, [arrival(2)]))  # without a report it does not count as queued
@@ -187,7 +187,7 @@
     dispatcher = started(settings(valuable, SAFE), 1)
     sent = fill(dispatcher, 1)
     assert len(sent) == 4
-    dispatcher.handle(2, [io.Note(100 + number, 0, 1) for number in range(4)])
+    dispatcher.handle(2, [io.ProgressReport(100 + number, 0, 1) for number in range(4)])
     order = []
     for now, ended in ((200_000, 100), (200_001, 101)):
         events = [arrival(900, job_class=1, now=now)] if ended == 100 else []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -139,7 +139,10 @@
         events = [arrival(number, number % 2, now=now, hint=50_000)]
         for request, attempt, worker, since in [item for item in running if item[3] <= now - 100_000]:
             running.remove((request, attempt, worker, since))
-            events += [io.Note(request, attempt, worker), outcome(request, attempt, worker, io.Result.OK)]
+            events += [
+                io.ProgressReport(request, attempt, worker),
+                outcome(request, attempt, worker, io.Result.OK),
+            ]
         for send in of(io.Send, gateway.handle(now, events)):
             running.append((send.request, 0, send.worker, now))
     return gateway
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -116,7 +116,7 @@
     dispatcher, now = with_many_keys(), 10**8
     home = send_and_finish(dispatcher, now, 1, key=7)
     dispatcher.handle(now, [arrival(3, now=now, key=7)])
-    dispatcher.handle(now + 2_000_000, [io.Note(3, 0, home)])  # after a wait of two seconds
+    dispatcher.handle(now + 2_000_000, [io.ProgressReport(3, 0, home)])  # after a wait of two seconds
     dispatcher.handle(now + 2_050_000, [outcome(3, 0, home, io.Result.OK)])
     assert send_and_finish(dispatcher, now + 2_100_000, 4, key=7) != home
     later = {send_and_finish(dispatcher, 100 * now + step * 100_000, 5 + step, key=7) for step in range(9)}
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -122,7 +122,7 @@
 def test_one_long_job_keeps_slowdown_bounded():
     dispatcher = started(settings(), 1)
     dispatcher.handle(1, [arrival(1, hint=1000)])
-    dispatcher.handle(2, [io.Note(1, 0, 1)])
+    dispatcher.handle(2, [io.ProgressReport(1, 0, 1)])
     dispatcher.handle(4_000_000, [outcome(1, 0, 1, R.OK, 4_000_000)])
     assert dispatcher.fleet.workers[1].pace <= 1.3
 
@@ -153,7 +153,7 @@
         outcome(1, 0, sent, R.ERROR),
         outcome(9, 3, 44, R.OK),
         io.Abandoned(1),
-        io.Note(9, 0, 1, 0.5),
+        io.ProgressReport(9, 0, 1, 0.5),
         io.StreamStarted(9, 0, 1),
         io.ProbeResult(99, R.OK, 5),
         io.Timer(123),
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -55,7 +55,7 @@
 def test_responding_worker_is_not_suspected():
     dispatcher = started(settings(), 1)
     dispatcher.handle(1, [arrival(1), arrival(2)])
-    dispatcher.handle(90_000, [io.Note(2, 0, 1)])
+    dispatcher.handle(90_000, [io.ProgressReport(2, 0, 1)])
     dispatcher.handle(150_000, [io.Timer(0)])
     assert dispatcher.fleet.workers[1].strikes == 0
 
@@ -74,7 +74,7 @@
 
 def time_until_cancelled(dispatcher, request, worker, now, healthy):
     """Return the time until a started, silent job is cancelled at ``worker``."""
-    dispatcher.handle(now, [io.Note(request, 0, worker)])
+    dispatcher.handle(now, [io.ProgressReport(request, 0, worker)])
     for step in range(1, 300):
         then = now + step * 20_000
         dispatcher.fleet.workers[worker].heard_at = then  # other jobs start there meanwhile
@@ -109,7 +109,7 @@
     dispatcher, first, left = start_silent_job(healthy=True)
     now, before = left + 10, dispatcher.timeouts.run_patience
     dispatcher.handle(now, [outcome(1000, 0, first, R.CANCELLED)])
-    dispatcher.handle(now + 1, [io.Note(1000, 1, 3 - first)])
+    dispatcher.handle(now + 1, [io.ProgressReport(1000, 1, 3 - first)])
     dispatcher.fleet.workers[3 - first].well_at = now + run - 1
     dispatcher.handle(now + run, [outcome(1000, 1, 3 - first, R.OK)])
     assert compare(dispatcher.timeouts.run_patience, before)
@@ -133,7 +133,7 @@
     first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     copy = of(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
     assert [send.worker for send in copy] == [3 - first]
-    begun = dispatcher.handle(31_000, [io.Note(1, 1, 3 - first)])
+    begun = dispatcher.handle(31_000, [io.ProgressReport(1, 1, 3 - first)])
     assert of(io.Cancel, begun) == [io.Cancel(1, 0)]
 
 
@@ -155,7 +155,7 @@
 def test_started_attempt_is_not_cancelled():
     dispatcher = started(settings(WORTHLESS_LATE), 1)
     dispatcher.handle(1, [arrival()])
-    dispatcher.handle(2_000, [io.Note(1, 0, 1)])
+    dispatcher.handle(2_000, [io.ProgressReport(1, 0, 1)])
     assert not of(io.Cancel, dispatcher.handle(90_000, [io.Timer(0)]))
 
 
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -45,7 +45,12 @@
 
     def finish(request, now, worker, result):
         dispatcher.handle(
-            now, [io.Note(request, 0, worker), outcome(request, 0, worker, result), io.Abandoned(request)]
+            now,
+            [
+                io.ProgressReport(request, 0, worker),
+                outcome(request, 0, worker, result),
+                io.Abandoned(request),
+            ],
         )
 
     sent, now = [], 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -241,7 +241,7 @@
         elif kind == "note" and sent:
             request, attempt = sent[rest[0] % len(sent)]
             worker = world.requests[request].tries[attempt].worker.worker
-            world.feed(io.Note(request, attempt, worker, 0.5 if rest[1] else None))
+            world.feed(io.ProgressReport(request, attempt, worker, 0.5 if rest[1] else None))
         elif kind == "extra_event" and number:
             oldest = world.requests[1 + rest[0] % number]
             extra_event = [
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -42,7 +42,7 @@
         now = step * 400_000
         sends = of(io.Send, dispatcher.handle(now, [arrival(step, now=now, hint=900_000)]))
         for send in sends:
-            dispatcher.handle(now + 1, [io.Note(step, 0, send.worker, begun=True)])
+            dispatcher.handle(now + 1, [io.ProgressReport(step, 0, send.worker, begun=True)])
             dispatcher.handle(now + 350_000, [outcome(step, 0, send.worker, io.Result.OK)])
     assert dispatcher.context.mean_work > 200_000 and dispatcher.spans[0] > 4_000_000
     return dispatcher
