--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -243,7 +243,7 @@
     start_by: int = 0  #: time from which it must not be sent any more, 0 for no limit
 
 
-class GaveUp(Enum):
+class EndReason(Enum):
     """Why a request is refused or fails; used in logs only."""
 
     UNKNOWN = "unknown"
@@ -259,7 +259,7 @@
 
     request: int
     stay_away: int = 0
-    why: GaveUp = field(default=GaveUp.UNKNOWN, compare=False)
+    why: EndReason = field(default=EndReason.UNKNOWN, compare=False)
 
 
 @dataclass(slots=True)
@@ -267,7 +267,7 @@
     """Final answer: failed; the job may or may not have taken effect."""
 
     request: int
-    why: GaveUp = field(default=GaveUp.UNKNOWN, compare=False)
+    why: EndReason = field(default=EndReason.UNKNOWN, compare=False)
 
 
 @dataclass(slots=True)
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -127,7 +127,7 @@
         if not sent and context.should_shed(job, over_share, event):  # unless a cold worker can start it now
             job.immediate_only, job.bearable, job.rank = True, 0.0, -math.inf
         if job.immediate_only and not self.selector.best_cold(job):
-            self._answer_unserved(job, io.GaveUp.OVERLOAD)
+            self._answer_unserved(job, io.EndReason.OVERLOAD)
         elif not job.open:
             self.enqueue(job)
         if self.reports.uses_probes:
@@ -165,11 +165,11 @@
         """Answer an expired job in time; cancel one queued at a worker, as it would delay others."""
         if job.waiting:
             job.waiting = False
-            self._answer_unserved(job, io.GaveUp.OUT_OF_TIME)
+            self._answer_unserved(job, io.EndReason.OUT_OF_TIME)
         elif job.hedged and not job.answered and not any(attempt.begun for attempt in job.attempts):
             self.attempts.cancel_attempts(job)
 
-    def _answer_unserved(self, job: Job, reason: io.GaveUp) -> None:
+    def _answer_unserved(self, job: Job, reason: io.EndReason) -> None:
         """Answer a job that will not be served: refuse it if a retry is harmless, else fail it."""
         if job.answered or job.open:
             return
@@ -203,7 +203,7 @@
             if job.selected_worker:
                 self.attempts.send(job, job.selected_worker)
             else:  # no eligible worker
-                self._answer_unserved(job, io.GaveUp.NO_WORKER)
+                self._answer_unserved(job, io.EndReason.NO_WORKER)
         restore_bypassed(ring.queues)
 
     def _dispatchable(self, job: Job) -> bool:
@@ -251,7 +251,7 @@
             or self.context.now >= job.give_up - settings.answer_grace
         )
         if spent or (job.spec.effect is io.Effect.UNSAFE and not job.never_ran()):
-            self._answer_unserved(job, io.GaveUp.NO_RETRY)
+            self._answer_unserved(job, io.EndReason.NO_RETRY)
         else:
             job.queue.deficit += 0.0 if attempt.may_have_run else job.cost  # the cost is refunded
             self.enqueue(job)
