--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -98,7 +98,7 @@
 
 ENCODERS: Final[dict[type, tuple[int, Callable[[int, Any], Fields]]]] = {
     Send: (Act.ISSUE, lambda instance, a: (instance, a.request, _wire_worker(a.worker), a.timeout)),
-    Refuse: (Act.BOUNCE, lambda instance, a: (instance, a.request, a.stay_away)),
+    Refuse: (Act.BOUNCE, lambda instance, a: (instance, a.request, a.retry_after)),
     Fail: (Act.END_FAILED, lambda instance, a: (instance, a.request)),
     Cancel: (Act.WITHDRAW, lambda instance, a: (instance, a.request, a.attempt)),
     Probe: (Act.PROBE, lambda instance, a: (instance, _wire_worker(a.worker))),
--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -258,7 +258,7 @@
     """Final answer: not served; a retry is safe."""
 
     request: int
-    stay_away: int = 0
+    retry_after: int = 0
     why: EndReason = field(default=EndReason.UNKNOWN, compare=False)
 
 
--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -249,7 +249,7 @@
         tracked = self.tracked_requests.get(action.request)
         if tracked is not None and tracked.pending:
             tracked.pending = False
-            tracked.client.refused(action.stay_away)
+            tracked.client.refused(action.retry_after)
             self._forget_if_finished(tracked)
 
     def _fail(self, action: io.Fail) -> None:
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -359,7 +359,7 @@
         tracked = self.tracked_requests.get(action.request)
         if tracked is not None and tracked.owed:
             self._count_refused(tracked, action.why.value)
-            tracked.client.shed(action.stay_away * MICROSECOND)
+            tracked.client.shed(action.retry_after * MICROSECOND)
             self._forget_if_over(tracked)
 
     def _fail(self, action: io.Fail) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -307,7 +307,7 @@
 def test_retry_after_is_spread(job_class):
     dispatcher = started(settings(job_class, may_advise=True, max_retry_after=2_000_000, position=3))
     refusals = of(io.Refuse, dispatcher.handle(1, [arrival(number) for number in range(1, 101)]))
-    delays = sorted(refusal.stay_away for refusal in refusals)
+    delays = sorted(refusal.retry_after for refusal in refusals)
     assert len(delays) == 100 and delays[0] >= 1_000_000 and delays[-1] <= 2_000_000
     assert max(later - sooner for sooner, later in pairwise(delays)) < 100_000
 
@@ -324,7 +324,7 @@
     now = 50_100_000
     dispatcher.handle(now, [arrival(number, now=now, hint=500_000) for number in range(200, 208)])
     refusals = of(io.Refuse, dispatcher.handle(now + 4_000_000, [io.Timer(0)]))
-    assert len(refusals) == 8 and refusals[0].stay_away > 3_000_000 > refusals[-1].stay_away
+    assert len(refusals) == 8 and refusals[0].retry_after > 3_000_000 > refusals[-1].retry_after
 
 
 REPORTED = settings(
