--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -194,7 +194,9 @@
     """What the schedulers of a fleet have agreed on; replaces the previous view."""
 
     alone: Sequence[tuple[int, int]] = ()  #: workers that get no jobs, and until when
-    parts: Sequence[float] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
+    quota_shares: Sequence[
+        float
+    ] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
     levels: Mapping[tuple[int, int], int] = field(default_factory=dict)  #: shedding level of each
     #: tenant and class, per cent; the dispatcher determines those that are missing by itself
     repeats: float = (
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -168,7 +168,9 @@
     for number, until in event.alone:
         if (worker := context.fleet.workers.get(number)) is not None:
             worker.avoid(until)
-    for bucket, tenant, part in zip(dispatcher.tenants.quotas, settings.tenants, event.parts, strict=False):
+    for bucket, tenant, part in zip(
+        dispatcher.tenants.quotas, settings.tenants, event.quota_shares, strict=False
+    ):
         bucket.refill(context.now)
         bucket.per_s = tenant.quota_per_s / settings.instances * part
     context.agree(event.levels)
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -74,7 +74,7 @@
         if self._sock is not None:
             return
         # The previous run may have lent the rest of the quotas.
-        self._emit(FleetView(parts=self._tenant_shares({}, INITIAL_SHARE)))
+        self._emit(FleetView(quota_shares=self._tenant_shares({}, INITIAL_SHARE)))
         listen = Address.parse(self.options.listen)
         family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -127,7 +127,9 @@
         self.loop.forget(self._sock)
         self._sock.close()
         self._emit(
-            FleetView(parts=self._tenant_shares(self._node.standalone_shares(self.loop.clock.now()), 1.0))
+            FleetView(
+                quota_shares=self._tenant_shares(self._node.standalone_shares(self.loop.clock.now()), 1.0)
+            )
         )
         self._sock = self._node = None
 
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -244,10 +244,10 @@
     quotas = dispatcher.tenants.quotas
     for bucket in quotas:
         bucket.level, bucket.since = 0.0, 1_000_000
-    dispatcher.handle(2_000_000, [io.FleetView(parts=(1.5, 0.5))])
+    dispatcher.handle(2_000_000, [io.FleetView(quota_shares=(1.5, 0.5))])
     assert [bucket.level for bucket in quotas] == [5.0, 5.0]  # at the old rate until then
     assert [bucket.per_s for bucket in quotas] == [7.5, 2.5]
-    dispatcher.handle(3_000_000, [io.FleetView(parts=(1.0, 1.0))])
+    dispatcher.handle(3_000_000, [io.FleetView(quota_shares=(1.0, 1.0))])
     assert [bucket.per_s for bucket in quotas] == [5.0, 5.0]
 
 
