--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -199,7 +199,7 @@
     ] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
     levels: Mapping[tuple[int, int], int] = field(default_factory=dict)  #: shedding level of each
     #: tenant and class, per cent; the dispatcher determines those that are missing by itself
-    repeats: float = (
+    lent_retries: float = (
         0.0  #: retries of budget received from others since the last view, negative if given away
     )
 
