--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -193,7 +193,7 @@
 class FleetView:
     """What the schedulers of a fleet have agreed on; replaces the previous view."""
 
-    alone: Sequence[tuple[int, int]] = ()  #: workers that get no jobs, and until when
+    avoided_workers: Sequence[tuple[int, int]] = ()  #: workers that get no jobs, and until when
     quota_shares: Sequence[
         float
     ] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -165,7 +165,7 @@
 def _apply_fleet_view(dispatcher: DispatcherParts, event: io.FleetView) -> None:
     """Apply exclusions, quota shares, shedding levels and lent retries, as decided in carthinge/fleet/."""
     context, settings = dispatcher.context, dispatcher.context.settings
-    for number, until in event.alone:
+    for number, until in event.avoided_workers:
         if (worker := context.fleet.workers.get(number)) is not None:
             worker.avoid(until)
     for bucket, tenant, part in zip(
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -235,7 +235,7 @@
         actions = dispatcher.handle(at, jobs)
         return {action.worker for action in actions if isinstance(action, io.Send)}
 
-    dispatcher.handle(1_000_000, [io.FleetView(alone=((101, 2_000_000), (999, 5_000_000)))])
+    dispatcher.handle(1_000_000, [io.FleetView(avoided_workers=((101, 2_000_000), (999, 5_000_000)))])
     assert sent_to(1_500_000, 1) == {102}
     assert 101 in sent_to(2_100_000, 10)
 
