--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -42,7 +42,7 @@
         self.by_id: dict[str, TrackedRequest] = {}
         self.events: list[io.Event] = []
         self.ended = ByClass()
-        self.invariants = Invariants(counters, lambda: dispatcher.context.settings.may_copy)
+        self.invariants = Invariants(counters, lambda: dispatcher.context.settings.may_hedge)
         self._loop = loop
         self._dispatcher = dispatcher
         self._targets = targets
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -135,7 +135,7 @@
                 self.context.call_at(due, self._check_silence, attempt)
             return
         self.ejector.suspect(worker)
-        if settings.may_copy:
+        if settings.may_hedge:
             if self.context.budget.allows() and not job.answered and job.open < 2:
                 self.context.budget.spend()
                 self._send_copy(job)
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -113,7 +113,7 @@
             settings.try_limit,
         )
         worthless_late = spec.late_worth <= 0
-        job.hedged = worthless_late and settings.tells_start and settings.may_copy and settings.may_cancel
+        job.hedged = worthless_late and settings.tells_start and settings.may_hedge and settings.may_cancel
         job.bearable = float(spec.objective) if worthless_late else math.inf
         if over_share := left > 0.99 * max_left and not self.tenants.within_quota(event.tenant, context.now):
             job.rank *= settings.over_share_worth
--- a/carthinge/rules.py
+++ b/carthinge/rules.py
@@ -102,7 +102,7 @@
     may_probe: bool = False
     may_tell: bool = False
     may_cancel: bool = False
-    may_copy: bool = False
+    may_hedge: bool = False
     may_advise: bool = False  #: refused clients get a retry_after
     try_limit: int = 1
     max_retry_after: int = 0
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -207,7 +207,7 @@
         may_probe=facts.flag("caps.probing"),
         may_tell=facts.flag("caps.peers"),
         may_cancel=facts.flag("caps.cancel"),
-        may_copy=facts.flag("caps.second_copies"),
+        may_hedge=facts.flag("caps.second_copies"),
         may_advise=facts.flag("caps.retry_after"),
         try_limit=facts.integer("caps.try_limit"),
         max_retry_after=facts.integer("caps.max_retry_after", 0),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,7 +25,7 @@
         "classes": classes or (SAFE,),
         "tenants": (io.Tenant(0.5), io.Tenant(0.5)),
         "try_limit": 4,
-        "may_copy": True,
+        "may_hedge": True,
         "may_cancel": True,
         "tells_start": True,
         "answer_grace": 16_000,
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -57,7 +57,7 @@
         self.jobs = {}
         self.answers = {}  # how many of each status
         self.classes = {spec["name"]: spec for spec in plan.settings["services"]}
-        self.may_copy = plan.settings["caps"]["second_copies"]
+        self.may_hedge = plan.settings["caps"]["second_copies"]
         self.grace = plan.settings["rules"]["drain_grace"] / 1e6
         self._lags = deque()
         self._felt = time.monotonic()
@@ -114,7 +114,7 @@
             and told > max(asked.sent + asked.patience - now, 0) + TOLD + self.arrival_lag
         ):
             self.found(f"{req_id}: told {told:.3f} s, left {asked.sent + asked.patience - now:.3f} s")
-        if worker in job.out.values() or (job.out and (unsafe or not self.may_copy)):
+        if worker in job.out.values() or (job.out and (unsafe or not self.may_hedge)):
             beside = set(job.out)
             loop = asyncio.get_running_loop()
             loop.call_later(IN_ORDER + self.arrival_lag, self.check_copy, req_id, worker, beside)
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -160,7 +160,7 @@
 def test_retry_waiting_for_cell_does_not_block():
     cells = [io.WorkerEntry(worker, cell=(worker + 1) // 2) for worker in (1, 2, 3, 4)]
     valuable = replace(KEYED, worth=8.0, window=40_000_000)
-    dispatcher = started(settings(valuable, SAFE, may_copy=False), *cells)
+    dispatcher = started(settings(valuable, SAFE, may_hedge=False), *cells)
     first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     # The only other worker of its cell is excluded.
     dispatcher.fleet.workers[{1: 2, 2: 1, 3: 4, 4: 3}[first]].avoid_until = 10**9
@@ -171,7 +171,7 @@
 def test_worker_with_queued_job_gets_no_more():
     """Others hold its slots: further jobs would queue there, where worth and shares do not apply."""
     for told in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
-        dispatcher = started(settings(may_copy=False, may_cancel=False), 1)
+        dispatcher = started(settings(may_hedge=False, may_cancel=False), 1)
         assert of(io.Send, dispatcher.handle(1, [arrival()]))
         assert of(io.Send, dispatcher.handle(2, [arrival(2)]))  # without a report it does not count as queued
         dispatcher.handle(3, [outcome(2, 0, 1, R.OK)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -131,7 +131,7 @@
     """A dispatcher after eight seconds of ten jobs a second, each started 100 ms after it was sent."""
     high = io.JobClass(objective=300_000, deadline=5_000_000, worth=10.0, late_worth=late_worth)
     low = io.JobClass(objective=300_000, deadline=5_000_000, late_worth=late_worth)
-    config = settings(high, low, may_copy=False, progress=10**8, **more)
+    config = settings(high, low, may_hedge=False, progress=10**8, **more)
     gateway = started(config, *range(1, 30))
     running = []
     for number in range(1, 80):
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -82,7 +82,7 @@
         io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5),
         instances=COUNT,
         position=3,
-        may_copy=False,
+        may_hedge=False,
         kinds=3,
     )
     dispatcher = Dispatcher(config, 5)
@@ -101,7 +101,7 @@
 
 def test_kinds_are_drawn_by_total_capacity():
     """20 workers of four times the capacity are drawn as often as 80 others without load reports."""
-    config = settings(instances=COUNT, may_copy=False, weights=io.Weights.NOMINAL)
+    config = settings(instances=COUNT, may_hedge=False, weights=io.Weights.NOMINAL)
     drawn = {0: 0, 1: 0}
     for seed in range(400):
         dispatcher = Dispatcher(config, seed)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -33,14 +33,16 @@
 
 
 @pytest.mark.parametrize("effect", io.Effect)
-@pytest.mark.parametrize("may_copy", [False, True])
+@pytest.mark.parametrize("may_hedge", [False, True])
 @pytest.mark.parametrize("arrived", [False, True])
 @pytest.mark.parametrize("result", [None, *io.Result])
-def test_may_send_depends_on_previous_attempt(effect, may_copy, arrived, result):
+def test_may_send_depends_on_previous_attempt(effect, may_hedge, arrived, result):
     counters = Counters()
-    permitted = Invariants(counters, lambda: may_copy).may_send(next_attempt(effect, result, arrived=arrived))
+    permitted = Invariants(counters, lambda: may_hedge).may_send(
+        next_attempt(effect, result, arrived=arrived)
+    )
     if result is None:
-        expected = may_copy and effect is not io.Effect.UNSAFE
+        expected = may_hedge and effect is not io.Effect.UNSAFE
     else:
         expected = effect is not io.Effect.UNSAFE or not arrived or result in io.NEVER_RAN
     assert permitted is expected and counters.invariants_violated == (not expected)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -41,7 +41,7 @@
 WORLD = World(
     settings=settings(
         SPEC,
-        may_copy=False,
+        may_hedge=False,
         may_cancel=True,
         may_advise=True,
         max_retry_after=400_000,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -209,7 +209,7 @@
         SAFE,
         instances=200,
         weights=io.Weights.ROUGH,
-        may_copy=False,
+        may_hedge=False,
         idle_close=5_000_000,
         reports=io.Reports.ANSWERS,
         report_fields=("free_slots",),
@@ -330,7 +330,7 @@
 REPORTED = settings(
     replace(SAFE, worth=8.0),
     SAFE,
-    may_copy=False,
+    may_hedge=False,
     cold_time=2_000_000,
     reports=io.Reports.ANSWERS,
     report_fields=("free_slots",),
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -27,7 +27,7 @@
 def test_keyed_job_retried_only_in_scope_and_window():
     cells = [io.WorkerEntry(1, cell=1), io.WorkerEntry(2, cell=1), io.WorkerEntry(3, cell=2)]
     for when, sends in ((2, 1), (2_000_000, 0)):
-        dispatcher = started(settings(KEYED, may_copy=False), *cells)
+        dispatcher = started(settings(KEYED, may_hedge=False), *cells)
         sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
         actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
         if sent == 3:
@@ -67,7 +67,7 @@
 
 
 def test_no_copy_where_settings_forbid_it():
-    dispatcher = started(settings(may_copy=False), 1, 2)
+    dispatcher = started(settings(may_hedge=False), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not of(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
@@ -86,7 +86,7 @@
 
 
 def start_silent_job(healthy):
-    dispatcher = started(settings(may_copy=False), 1, 2)
+    dispatcher = started(settings(may_hedge=False), 1, 2)
     worker = of(io.Send, dispatcher.handle(1, [arrival(1000, hint=50_000)]))[0].worker
     return dispatcher, worker, time_until_cancelled(dispatcher, 1000, worker, 2, healthy)
 
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(("when", "again"), [(900_000, [io.Send]), (1_000_001, [io.Fail])])
 def test_keyed_retry_ends_with_window(when, again):
     cell = [io.WorkerEntry(1, cell=4), io.WorkerEntry(2, cell=4)]
-    dispatcher = started(settings(KEYED, may_copy=False), *cell)
+    dispatcher = started(settings(KEYED, may_hedge=False), *cell)
     sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
     assert [type(action) for action in actions if not isinstance(action, io.SetTimer)] == again
@@ -171,7 +171,7 @@
 
 
 def test_silent_attempt_cancelled_and_retried_elsewhere():
-    dispatcher = started(settings(may_copy=False), 1, 2, 3, 4)
+    dispatcher = started(settings(may_hedge=False), 1, 2, 3, 4)
     sent = of(io.Send, dispatcher.handle(1, [arrival(1)]))[0]
     assert of(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
     again = of(io.Send, dispatcher.handle(2_000_001, [outcome(1, 0, sent.worker, R.CANCELLED)]))
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize(("job_class", "workers"), [(UNSAFE, (1, 2, 3, 4)), (SAFE, (1,))])
 def test_silent_attempt_kept_without_possible_retry(job_class, workers):
-    dispatcher = started(settings(job_class, may_copy=False), *workers)
+    dispatcher = started(settings(job_class, may_hedge=False), *workers)
     dispatcher.handle(1, [arrival(1)])
     assert not of(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)]))
 
@@ -194,7 +194,7 @@
 
     With load reports queues are known, so a silent worker hangs, and most of its jobs are retried.
     """
-    dispatcher = started(settings(SAFE, may_copy=False, instances=20, reports=reports), *range(1, 31))
+    dispatcher = started(settings(SAFE, may_hedge=False, instances=20, reports=reports), *range(1, 31))
     serve(dispatcher, served, every=50_000)
     retries = 0
     for step in range(served, 400):
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -187,7 +187,7 @@
 
 def test_readmitted_worker_loaded_within_slot_capacity():
     """The mean rate of served work is low while jobs wait; the readmitted worker stayed idle."""
-    config = settings(may_copy=False, reports=io.Reports.ANSWERS, report_fields=("free_slots",))
+    config = settings(may_hedge=False, reports=io.Reports.ANSWERS, report_fields=("free_slots",))
     dispatcher = started(config, 1, 2)
     for step in range(40):
         sends = of(io.Send, dispatcher.handle(step * 20_000, [arrival(step, now=step * 20_000)]))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -135,7 +135,7 @@
 
 
 def test_waiting_job_keeps_class_and_deficit():
-    old = settings(SAFE, UNSAFE, tenants=(io.Tenant(0.5), io.Tenant(0.3), io.Tenant(0.2)), may_copy=False)
+    old = settings(SAFE, UNSAFE, tenants=(io.Tenant(0.5), io.Tenant(0.3), io.Tenant(0.2)), may_hedge=False)
     dispatcher = started(old, 1, 2)
     ring = dispatcher.tenants.ring
     first, second, third = ring.queues
@@ -143,7 +143,7 @@
     dispatcher.fleet.workers[1].avoid_until = dispatcher.fleet.workers[2].avoid_until = 500
     dispatcher.handle(1, [arrival(1, 1, now=1, tenant=2)])
     assert third.head() is not None
-    new = settings(SAFE, tenants=(io.Tenant(0.6), io.Tenant(0.4)), may_copy=False)
+    new = settings(SAFE, tenants=(io.Tenant(0.6), io.Tenant(0.4)), may_hedge=False)
     dispatcher.handle(2, [io.SettingsChange(new, [0], [1, -1])])
     assert ring.queues[0] is second and second.deficit == 0.0  # an empty queue loses its deficit
     assert (
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -102,7 +102,7 @@
         assert len(request.tries) < self.config.try_limit
         assert worker.state is io.State.READY, "rule 3: sent to a worker that drains or is gone"
         assert spec.kind in (-1, worker.kind)
-        assert self.config.may_copy or not any(t.open for t in request.tries)
+        assert self.config.may_hedge or not any(t.open for t in request.tries)
         for earlier in request.tries:
             if earlier.may_have_run and spec.effect is not io.Effect.SAFE:
                 assert spec.effect is io.Effect.KEYED, "rule 2: unsafe resent"
@@ -193,7 +193,7 @@
 def configs(draw):
     return settings(
         *CLASSES,
-        may_copy=draw(st.booleans()),
+        may_hedge=draw(st.booleans()),
         may_cancel=draw(st.booleans()),
         may_probe=draw(st.booleans()),
         may_tell=draw(st.booleans()),
