--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -206,7 +206,7 @@
         settings = self.settings
         room = retry_after.until_room(len(self.jobs) * self.mean_work, self.served.current(self.now))
         point = mix(settings.position << 40 ^ job.id)
-        limit = settings.max_retry_after * settings.may_advise
+        limit = settings.max_retry_after * settings.may_send_retry_after
         return retry_after.stay_away(room, job.spec.objective, limit, point)
 
     def request_watch(self) -> None:
--- a/carthinge/rules.py
+++ b/carthinge/rules.py
@@ -103,7 +103,7 @@
     may_tell: bool = False
     may_cancel: bool = False
     may_hedge: bool = False
-    may_advise: bool = False  #: refused clients get a retry_after
+    may_send_retry_after: bool = False  #: refused clients get a retry_after
     try_limit: int = 1
     max_retry_after: int = 0
     idle_close: int = 0  #: idle time after which a worker closes a connection
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -160,7 +160,7 @@
         report_fields=tuple(facts.text_list("load_info.fields")),
         connect_timeout=facts.duration("caps.dial_timeout", timedelta(milliseconds=250)),
         idle_close=facts.duration("caps.idle_close", timedelta(seconds=5)),
-        max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_advise),
+        max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_send_retry_after),
         pushed=_is_pushed(facts),
         drain_grace=facts.duration("rules.drain_grace", timedelta()),
     )
@@ -208,7 +208,7 @@
         may_tell=facts.flag("caps.peers"),
         may_cancel=facts.flag("caps.cancel"),
         may_hedge=facts.flag("caps.second_copies"),
-        may_advise=facts.flag("caps.retry_after"),
+        may_send_retry_after=facts.flag("caps.retry_after"),
         try_limit=facts.integer("caps.try_limit"),
         max_retry_after=facts.integer("caps.max_retry_after", 0),
         idle_close=facts.integer("caps.idle_close", 0),
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -43,7 +43,7 @@
         SPEC,
         may_hedge=False,
         may_cancel=True,
-        may_advise=True,
+        may_send_retry_after=True,
         max_retry_after=400_000,
         tells_start=True,
         progress=200_000,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -68,7 +68,7 @@
 
 
 def test_job_worthless_when_late_refused_early():
-    config = settings(WORTHLESS_LATE, tells_start=False, may_advise=True, max_retry_after=2_000_000)
+    config = settings(WORTHLESS_LATE, tells_start=False, may_send_retry_after=True, max_retry_after=2_000_000)
     dispatcher = started(config, 1)
     dispatcher.handle(1, [arrival(1, hint=10_000)])
     dispatcher.fleet.workers[1].avoid_until = 10**9
@@ -305,7 +305,9 @@
 
 @pytest.mark.parametrize("job_class", [SAFE, WORTHLESS_LATE])
 def test_retry_after_is_spread(job_class):
-    dispatcher = started(settings(job_class, may_advise=True, max_retry_after=2_000_000, position=3))
+    dispatcher = started(
+        settings(job_class, may_send_retry_after=True, max_retry_after=2_000_000, position=3)
+    )
     refusals = of(io.Refuse, dispatcher.handle(1, [arrival(number) for number in range(1, 101)]))
     delays = sorted(refusal.retry_after for refusal in refusals)
     assert len(delays) == 100 and delays[0] >= 1_000_000 and delays[-1] <= 2_000_000
@@ -315,7 +317,7 @@
 def test_retry_after_follows_drain_time():
     job_class = replace(WORTHLESS_LATE, objective=100_000)
     dispatcher = started(
-        settings(job_class, may_advise=True, max_retry_after=60_000_000, tells_start=False), 1
+        settings(job_class, may_send_retry_after=True, max_retry_after=60_000_000, tells_start=False), 1
     )
     for number in range(1, 101):  # two jobs per second of half a second each
         dispatcher.handle(number * 500_000, [arrival(number, now=number * 500_000, hint=500_000)])
