--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -49,7 +49,7 @@
             spread = min(settings.ask_within * 0.8, settings.instances * 20_000)
             slot = settings.position + context.rng.random()
             context.call_at(context.now + int(spread * slot / settings.instances), context.request_watch)
-        if settings.may_tell and settings.instances > 1 and settings.weights is not io.Weights.LIVE:
+        if settings.may_send_messages and settings.instances > 1 and settings.weights is not io.Weights.LIVE:
             context.call_at(
                 context.now + int(MIN_MESSAGE_INTERVAL_US * context.rng.random()), self._send_loads
             )
--- a/carthinge/rules.py
+++ b/carthinge/rules.py
@@ -100,7 +100,7 @@
     worth_by_work: bool = False
     over_share_worth: float = 1.0
     may_probe: bool = False
-    may_tell: bool = False
+    may_send_messages: bool = False
     may_cancel: bool = False
     may_hedge: bool = False
     may_send_retry_after: bool = False  #: refused clients get a retry_after
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -152,7 +152,7 @@
     decisions = read_settings(facts)
     return Site(
         # The module's messages have no transport between real schedulers, whatever a site allows.
-        decisions=replace(decisions, may_tell=False),
+        decisions=replace(decisions, may_send_messages=False),
         classes=_unique_names(facts, "services"),
         tenants=_unique_names(facts, "tenants"),
         zones=tuple(facts.text_list("zones")),
@@ -205,7 +205,7 @@
         worth_by_work=facts.text("counted_by", "request") == "work",
         over_share_worth=facts.number("over_share_worth", 1),
         may_probe=facts.flag("caps.probing"),
-        may_tell=facts.flag("caps.peers"),
+        may_send_messages=facts.flag("caps.peers"),
         may_cancel=facts.flag("caps.cancel"),
         may_hedge=facts.flag("caps.second_copies"),
         may_send_retry_after=facts.flag("caps.retry_after"),
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -128,7 +128,7 @@
 
 
 def test_peer_load_counts():
-    config = settings(may_tell=True, instances=2, price_message=0.01)
+    config = settings(may_send_messages=True, instances=2, price_message=0.01)
     sender, receiver = started(config, 1, 2), started(config, 1, 2)
     busy = of(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
     told = of(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -91,7 +91,7 @@
         elif isinstance(action, io.Probe):
             assert self.config.may_probe
         elif isinstance(action, io.SendMessage):
-            assert self.config.may_tell and len(action.body) <= 256
+            assert self.config.may_send_messages and len(action.body) <= 256
 
     def check_send(self, action):
         request, worker = self.requests[action.request], self.listed[action.worker]
@@ -196,7 +196,7 @@
         may_hedge=draw(st.booleans()),
         may_cancel=draw(st.booleans()),
         may_probe=draw(st.booleans()),
-        may_tell=draw(st.booleans()),
+        may_send_messages=draw(st.booleans()),
         tells_start=draw(st.booleans()),
         try_limit=draw(st.integers(1, 5)),
         reports=draw(st.sampled_from(io.Reports)),
