--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -93,7 +93,7 @@
     }
 
 
-def memory_of(dispatcher: DispatcherParts) -> Memory:
+def export_memory(dispatcher: DispatcherParts) -> Memory:
     """Return the state that ``restore_memory`` restores."""
     fleet = dispatcher.context.fleet
     return Memory(
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -10,7 +10,7 @@
 from carthinge.front.connection import ClientConnection
 from carthinge.front.frontend import Frontend
 from carthinge.interface import Leave, Message, Result
-from carthinge.memory import job_memory, memory_of
+from carthinge.memory import export_memory, job_memory
 from carthinge.net.channel import Beat, Incoming, Open, OpenAttempt, State, Waiting
 from carthinge.net.config import Config
 from carthinge.net.http import Address
@@ -70,7 +70,7 @@
             str(config.discovery),
             self._directory.revision,
             self._directory.told(),
-            memory_of(self._dispatcher),
+            export_memory(self._dispatcher),
             site.classes,
             site.tenants,
             site.kinds,
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -11,7 +11,7 @@
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge import interface as io
-from carthinge.memory import memory_of
+from carthinge.memory import export_memory
 from carthinge.settings import Facts, read_site
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -145,7 +145,7 @@
 def test_memory_is_restored_by_name():
     """A deployment with the same number of classes was taken for the same one."""
     dispatcher = trained_dispatcher()
-    memory = memory_of(dispatcher)
+    memory = export_memory(dispatcher)
     swapped = started(settings(UNSAFE, SAFE))
     swapped.handle(30_000_000, [io.Inherit(memory, [1, 0], [1, 0], [0, 1])])
     assert swapped.spans == [memory.spans[1], memory.spans[0]]
