--- a/carthinge/durable/attempt_leases.py
+++ b/carthinge/durable/attempt_leases.py
@@ -119,7 +119,7 @@
             self._timer = None
 
     def _extend(self, attempt: Attempt) -> timedelta:
-        until = self.leases.hold(attempt.token, attempt, self._loop.clock.now())
+        until = self.leases.grant_or_renew(attempt.token, attempt, self._loop.clock.now())
         if self._timer is None:
             self._timer = self._loop.call_at(until, self._expire)
         return until
--- a/carthinge/leases.py
+++ b/carthinge/leases.py
@@ -39,7 +39,7 @@
     def __len__(self) -> int:
         return len(self._leases)
 
-    def hold(self, token: int, holder: Holder, now: timedelta) -> timedelta:
+    def grant_or_renew(self, token: int, holder: Holder, now: timedelta) -> timedelta:
         """Grant or renew a lease; return its expiry.  The caller has checked that the attempt is open."""
         until = now + self.duration
         lease = self._leases.get(token)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -22,7 +22,7 @@
     def hold(self, data):
         token = data.draw(st.integers(1, self.tokens + 1))
         self.tokens = max(self.tokens, token)
-        until = self.leases.hold(token, f"holder {token}", self.now)
+        until = self.leases.grant_or_renew(token, f"holder {token}", self.now)
         assert until == self.now + DURATION
         self.model[token] = until
 
@@ -60,6 +60,6 @@
     leases = Leases(DURATION)
     for token in range(1, 5000):
         for _ in range(3):
-            leases.hold(token, token, timedelta(seconds=token))
+            leases.grant_or_renew(token, token, timedelta(seconds=token))
         leases.end(token)
     assert len(leases._heap) <= 64 and len(leases) == 0
