--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -172,12 +172,12 @@
         slowdown = context.slowdown(worker)
         if worker.free_at >= 0 and now - worker.free_at < context.mean_work * slowdown / max(1.0, pool.slots):
             # A report is made before the job it comes with ends: slots free by this scheduler's count, too.
-            free = worker.free if probes else max(worker.free, pool.slots - worker.held())
+            free = worker.free if probes else max(worker.free, pool.slots - worker.total_outstanding_slots())
             if free < job.slots + (probes and -job.rank < SPARE_SLOT_WORTH_SHARE * self.max_worth):
                 return None  # jobs of low worth leave a slot for those of high worth
         else:
             cap = min(worker.cap, pool.slots or worker.cap)  # jobs queued there cannot be ordered by worth
-            if worker.outstanding_slots and worker.held() + job.slots > cap:
+            if worker.outstanding_slots and worker.total_outstanding_slots() + job.slots > cap:
                 return None
             if probes and now < job.enqueued_at + job.spec.objective * PROBE_WAIT_SHARE:
                 return None  # its probes are outstanding
@@ -196,7 +196,7 @@
         settings = self.context.settings
         rated = settings.weights is not io.Weights.OFF and worker.entry.rating > 0
         size = worker.kind_stats.slots or (worker.kind_stats.size if rated else 1.0)
-        slots = worker.held()
+        slots = worker.total_outstanding_slots()
         work = (worker.outstanding_work + worker.peer_work) / size
         queued = max(0.0, slots + job.slots - size) / max(slots, 1.0)
         wait = work * (FITTING_WORK_WEIGHT + min(1.0, queued))
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -105,7 +105,7 @@
         self.outstanding_slots = max(0.0, self.outstanding_slots - job.slots)
         self.outstanding_work = max(0.0, self.outstanding_work - job.work)
 
-    def held(self) -> float:
+    def total_outstanding_slots(self) -> float:
         """Return the slots that all dispatchers are known to have outstanding there."""
         return self.outstanding_slots + self.peer_slots
 
@@ -205,7 +205,7 @@
     def sent(self, worker: Worker, now: int, expected: float) -> Attempt:
         """Record an attempt that is sent now."""
         attempt = Attempt(self, len(self.attempts), worker, worker.entry, now, expected)
-        attempt.alone = worker.held() < 1
+        attempt.alone = worker.total_outstanding_slots() < 1
         self.attempts.append(attempt)
         self.open += 1
         worker.carry(self)
