--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -157,7 +157,7 @@
         job.attempts.append(attempt)
         if attempt.open:
             job.open += 1
-            worker.carry(job)
+            worker.add_load(job)
             dispatcher.context.level.waiting += not attempt.begun
             dispatcher.attend(attempt)
 
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -95,7 +95,7 @@
         """Send it nothing before ``until``; a later time that is already set stands."""
         self.avoid_until = max(self.avoid_until, until)
 
-    def carry(self, job: Job) -> None:
+    def add_load(self, job: Job) -> None:
         """Add an attempt of this job to its outstanding load."""
         self.outstanding_slots += job.slots
         self.outstanding_work += job.work
@@ -208,7 +208,7 @@
         attempt.alone = worker.total_outstanding_slots() < 1
         self.attempts.append(attempt)
         self.open += 1
-        worker.carry(self)
+        worker.add_load(self)
         worker.sent_at = now
         worker.free -= self.slots
         return attempt
