--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -222,7 +222,7 @@
         job.selected_worker = self.selector.best(job, pool := self.selector.eligible(job))
         if job.selected_worker or not pool or job.immediate_only:
             return True
-        job.narrow = len(pool) < len(context.fleet.pool(job.spec.kind)) or (
+        job.constrained = len(pool) < len(context.fleet.pool(job.spec.kind)) or (
             job.work > context.mean_work and any(self.slow_start.is_cold(worker) for worker in pool)
         )
         job.checked_list_version = context.fleet.version
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -196,7 +196,7 @@
     selected_worker: Worker | None = None  # selected when it was found dispatchable at the head of its queue
     next_check_at: int = 0  # while it is blocked: when to select a worker for it again
     checked_list_version: int = -1  # version of the worker list at the last selection
-    narrow: bool = False  # blocked by its own constraints: other jobs of its tenant may find a worker
+    constrained: bool = False  # blocked by its own constraints: other jobs of its tenant may find a worker
 
     def is_settled(self) -> bool:
         """Return whether no timer can still affect it: an answered job neither waits nor can be cancelled."""
@@ -262,7 +262,7 @@
 
         Always returns False: the head itself cannot be sent.
         """
-        if head.narrow and len(self.bypassed) < MAX_BYPASSED_JOBS:
+        if head.constrained and len(self.bypassed) < MAX_BYPASSED_JOBS:
             self.bypassed.append(heappop(self.heap))
         return False
 
