--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -59,7 +59,7 @@
         a call without response must be repeated within the drain grace.  In polled mode, all schedulers
         share one discovery, and a change counts as known once discovery has written it.
         """
-        if site.pushed:
+        if site.list_is_pushed:
             share = min(max(site.drain_grace * AGENT_WAIT_FRACTION, MIN_AGENT_WAIT), POLL_WAIT)
             return cls(share, share, share, 2 * share, share / 2)
         wait = min(max(POLL_WAIT, POLL_WAIT_PER_SCHEDULER * site.decisions.instances), MAX_POLL_WAIT)
@@ -123,7 +123,7 @@
         """Apply changed settings from the next call on."""
         self._connect_timeout = site.connect_timeout
         self._timing = WatchTiming.of(site)
-        if site.pushed:
+        if site.list_is_pushed:
             self.start()
 
     def move(self, address: Address) -> None:
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -34,7 +34,7 @@
     connect_timeout: timedelta
     idle_close: timedelta  #: idle time after which a worker closes a connection
     max_retry_after: timedelta
-    pushed: bool  #: an agent pushes the list; what the agent has counts as known
+    list_is_pushed: bool  #: an agent pushes the list; what the agent has counts as known
     drain_grace: timedelta  #: time after which a worker listed as leaving may get no new job
 
 
@@ -161,7 +161,7 @@
         connect_timeout=facts.duration("caps.dial_timeout", timedelta(milliseconds=250)),
         idle_close=facts.duration("caps.idle_close", timedelta(seconds=5)),
         max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_send_retry_after),
-        pushed=_is_pushed(facts),
+        list_is_pushed=_is_pushed(facts),
         drain_grace=facts.duration("rules.drain_grace", timedelta()),
     )
 
