--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -105,7 +105,7 @@
         """Update the mean capacity share of this dispatcher's subset, once in a window of rule 4."""
         if self.now >= self._capacity_valid_until:
             self._capacity_valid_until = self.now + max(1, self.settings.fall_window)
-            shares = [self.warmth(worker) for worker in self.fleet.near]
+            shares = [self.warmth(worker) for worker in self.fleet.subset]
             self._mean_capacity_share, self._warm_worker_count = (
                 sum(shares) / len(shares) if shares else 1.0,
                 shares.count(1.0),
@@ -199,7 +199,7 @@
 
     def schedulers_per_worker(self) -> float:
         """Return how many schedulers, this one included, have a worker of this one's subset in theirs."""
-        return self.settings.instances * max(1, len(self.fleet.near)) / max(1, len(self.fleet.pool(-1)))
+        return self.settings.instances * max(1, len(self.fleet.subset)) / max(1, len(self.fleet.pool(-1)))
 
     def retry_after_us(self, job: Job) -> int:
         """Return the delay before a refused client may retry; 0 where the settings give none."""
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -34,7 +34,10 @@
 
         Where hundreds of schedulers share an allowance, each has a part now and then; it is lost if unused.
         """
-        window, near = self.context.now // max(1, self.context.settings.fall_window), self.context.fleet.near
+        window, near = (
+            self.context.now // max(1, self.context.settings.fall_window),
+            self.context.fleet.subset,
+        )
         if window != self._window:
             self._window, self._open_workers = (
                 window,
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -55,8 +55,8 @@
         "_select_subset",
         "_workers_by_key",
         "kinds",
-        "near",
         "out",
+        "subset",
         "version",
         "workers",
         "workers_by_tag",
@@ -66,7 +66,7 @@
         self.workers: dict[int, Worker] = {}
         self.kinds: dict[int, Kind] = {}
         self.workers_by_tag: dict[int, Worker] = {}
-        self.near: list[Worker] = []  # the subset of the ready workers that this dispatcher prefers
+        self.subset: list[Worker] = []  # the subset of the ready workers that this dispatcher prefers
         self.out: set[int] = (
             set()
         )  # excluded by operators: ids, since discovery may drop a worker and list it again
@@ -174,10 +174,10 @@
         self._groups.clear()
         self._workers_by_key.clear()
         self._order_ranks.clear()
-        for worker in self.near:
+        for worker in self.subset:
             worker.in_subset = False
-        self.near = self._select_subset(self.pool(-1))
-        for worker in self.near:
+        self.subset = self._select_subset(self.pool(-1))
+        for worker in self.subset:
             worker.in_subset = True
 
     def pool(self, kind: int) -> list[Worker]:
@@ -197,7 +197,7 @@
             for worker in pool:
                 found.setdefault(id(worker.kind_stats), []).append(worker)
             groups = list(found.values())
-            if pool is self.near or any(pool is kept for kept in self._pools.values()):
+            if pool is self.subset or any(pool is kept for kept in self._pools.values()):
                 self._groups[id(pool)] = groups
         return groups
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -192,7 +192,7 @@
     schedulers = {worker: 0 for worker in range(1, 101)}
     for position in range(20):
         dispatcher = started(settings(SAFE, position=position, **config), *schedulers, seed=position)
-        subset = {worker.id for worker in dispatcher.fleet.near}
+        subset = {worker.id for worker in dispatcher.fleet.subset}
         assert len(subset) == 40
         for worker in subset:
             schedulers[worker] += 1
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -86,9 +86,9 @@
 def test_fleet_subset_follows_instance_count():
     many = settings(SAFE, instances=200, position=7, price_connection=0.02)
     dispatcher = started(settings(SAFE, instances=1, price_connection=0.02), *range(1, 101))
-    assert len(dispatcher.fleet.near) == 100
+    assert len(dispatcher.fleet.subset) == 100
     dispatcher.handle(1, [io.SettingsChange(many, [0], [0, 1])])
-    assert len(dispatcher.fleet.near) < 100
+    assert len(dispatcher.fleet.subset) < 100
 
 
 def test_sighup_with_reordered_machine_kinds(serve, dial, worker):
