--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -87,7 +87,7 @@
         """Return the least objective of all classes."""
         return min(spec.objective for spec in self.settings.classes)
 
-    def warmth(self, worker: Worker, at: int = -1) -> float:
+    def capacity_share(self, worker: Worker, at: int = -1) -> float:
         """Return the share of its capacity that a worker surely has at a time (by default now): it rises
         linearly over the cold time, or sooner.
         """
@@ -99,13 +99,13 @@
 
     def slowdown(self, worker: Worker, at: int = -1) -> float:
         """Return running time over hinted work for a job that starts there at a time (by default now)."""
-        return worker.known_slowdown() / self.warmth(worker, at)
+        return worker.known_slowdown() / self.capacity_share(worker, at)
 
     def _update_capacity(self) -> None:
         """Update the mean capacity share of this dispatcher's subset, once in a window of rule 4."""
         if self.now >= self._capacity_valid_until:
             self._capacity_valid_until = self.now + max(1, self.settings.fall_window)
-            shares = [self.warmth(worker) for worker in self.fleet.subset]
+            shares = [self.capacity_share(worker) for worker in self.fleet.subset]
             self._mean_capacity_share, self._warm_worker_count = (
                 sum(shares) / len(shares) if shares else 1.0,
                 shares.count(1.0),
@@ -191,7 +191,7 @@
         if served:
             self._update_capacity()
             self.served.add(attempt.job.work, self.now)
-            if self.warmth(attempt.worker) == 1:  # slow start limits what cold workers serve
+            if self.capacity_share(attempt.worker) == 1:  # slow start limits what cold workers serve
                 self.carried.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
         if served and not attempt.begun:
             run_time = attempt.job.work * self.slowdown(attempt.worker)
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -91,7 +91,11 @@
             if attempt.begun or attempt.alone:
                 previous = worker.known_slowdown()
                 since = attempt.begun or attempt.sent
-                sample = (now - since) * self.context.warmth(worker, (since + now) // 2) / max(1.0, job.work)
+                sample = (
+                    (now - since)
+                    * self.context.capacity_share(worker, (since + now) // 2)
+                    / max(1.0, job.work)
+                )
                 sample = min(max(sample, previous / MAX_SAMPLE_RATIO), previous * MAX_SAMPLE_RATIO)
                 worker.pace = previous + (sample - previous) * EWMA_WEIGHT
                 worker.kind_stats.slowdown += (sample - worker.kind_stats.slowdown) * EWMA_WEIGHT / 3
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -23,7 +23,7 @@
 
     def is_cold(self, worker: Worker) -> bool:
         """Whether a worker has not reached its full capacity yet."""
-        return self.context.warmth(worker) < 1
+        return self.context.capacity_share(worker) < 1
 
     def allows(self, worker: Worker, job: Job) -> bool:
         """Whether a worker may get this job too: a cold one only within its allowance."""
@@ -59,7 +59,7 @@
             # Work sent does not count, so that refusals do not raise it.  A worker has at least one slot.
             slot_rate = max(1.0, worker.kind_stats.slots) / worker.known_slowdown() / schedulers
             rate = max(slot_rate, context.carried.per_s / 1e6)
-            mean_jobs = context.warmth(worker) * rate * settings.fall_window / context.mean_work
+            mean_jobs = context.capacity_share(worker) * rate * settings.fall_window / context.mean_work
             safe_total = (
                 math.sqrt(HALF_MARGIN_DEVIATIONS**2 + settings.fall_multiple * mean_jobs * schedulers)
                 - HALF_MARGIN_DEVIATIONS
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -127,7 +127,7 @@
     lists(program, member("s-0", 1, up_since_ms=time.time_ns() // 1_000_000))
     turns(program, lambda: not program.tracker.events)
     worker = program.dispatcher.fleet.workers[number_of("s-0")]
-    assert 0.3 < program.dispatcher.context.warmth(worker) < 0.4
+    assert 0.3 < program.dispatcher.context.capacity_share(worker) < 0.4
 
 
 @pytest.mark.parametrize("step", STEPS, ids=str)
