--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -157,7 +157,7 @@
         """Return the run time within a measured wait: 0 where starts are reported, else a mean run."""
         return 0.0 if self.settings.tells_start else self.mean_slowdown() * self.mean_work
 
-    def agree(self, levels: Mapping[tuple[int, int], int]) -> None:
+    def set_agreed_levels(self, levels: Mapping[tuple[int, int], int]) -> None:
         """Set the levels agreed with peers; the first call starts the shared level."""
         if self.shared_level is None:
             from carthinge.fleet.shared_shedding import SharedSheddingLevel
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -173,7 +173,7 @@
     ):
         bucket.refill(context.now)
         bucket.per_s = tenant.quota_per_s / settings.instances * part
-    context.agree(event.levels)
+    context.set_agreed_levels(event.levels)
     context.budget.pass_on(event.lent_retries)
 
 
