--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -165,7 +165,7 @@
             self.shared_level = SharedSheddingLevel()
         self.shared_level.agreed = levels
 
-    def levels(self, now: int) -> dict[tuple[int, int], int]:
+    def own_shedding_levels(self, now: int) -> dict[tuple[int, int], int]:
         """Return this dispatcher's own shedding levels for the agreement with peers."""
         return (
             self.shared_level.told(self.level.kept(self._unqueued_run_time(), now), now)
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -52,7 +52,10 @@
         }
         waiting = sum(job.work for job in dispatcher.jobs.values() if job.waiting)
         ended_per_s = max(MIN_RATE, context.served.per_s)
-        levels = {cell_number(*cell, self.classes): level for cell, level in context.levels(now).items()}
+        levels = {
+            cell_number(*cell, self.classes): level
+            for cell, level in context.own_shedding_levels(now).items()
+        }
         spent, self._retries_spent = context.budget.spent - self._retries_spent, context.budget.spent
         return Facts(
             failures,
