--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -45,7 +45,7 @@
     """The parts of a dispatcher that a handover reads and changes."""
 
     context: DispatchContext
-    spans: list[int]
+    max_client_waits: list[int]
 
     @property
     def tenants(self) -> Tenants:
@@ -102,7 +102,7 @@
         kinds=[(number, kind.slowdown, kind.slots, kind.size) for number, kind in fleet.kinds.items()],
         meters={name: float(getattr(part, name)) for name, part in _meter_owners(dispatcher).items()},
         rates={name: (rate.per_s, rate.since) for name, rate in _rates(dispatcher).items()},
-        spans=list(dispatcher.spans),
+        spans=list(dispatcher.max_client_waits),
         quotas=[(bucket.level, bucket.since) for bucket in dispatcher.tenants.quotas],
     )
 
@@ -198,7 +198,9 @@
     )
     for index, old_index in enumerate(event.classes):
         if old_index >= 0:
-            dispatcher.spans[index] = min(memory.spans[old_index], context.settings.classes[index].deadline)
+            dispatcher.max_client_waits[index] = min(
+                memory.spans[old_index], context.settings.classes[index].deadline
+            )
     for bucket, old_index in zip(dispatcher.tenants.quotas, event.tenants, strict=True):
         if old_index >= 0:
             level, bucket.since = memory.quotas[old_index]
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -37,7 +37,9 @@
             self.attempts.timeouts,
             self.attempts.schedule_check,
         )
-        self.spans: list[int] = []  # of each class, the longest time from an arrival to its give_up
+        self.max_client_waits: list[
+            int
+        ] = []  # of each class, the longest time from an arrival to its give_up
         self.queue_sequence = 0
         self._configure(
             io.SettingsChange(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants))
@@ -82,8 +84,8 @@
         self.reports.uses_probes = settings.reports is io.Reports.PROBES and settings.may_probe
         self.selector.configure(settings)
         self.fleet.retune(event.kinds)
-        self.spans = [
-            min(self.spans[old], spec.deadline) if old >= 0 else 0
+        self.max_client_waits = [
+            min(self.max_client_waits[old], spec.deadline) if old >= 0 else 0
             for old, spec in zip(event.classes, settings.classes, strict=True)
         ]
 
@@ -98,7 +100,7 @@
         rank = -spec.worth / (1.0 if settings.worth_by_work else cost)  # WSPT: worth for its work
         # A client's retry has less time left than a first request: that shows when the client began to wait.
         left = event.give_up - context.now
-        max_left = self.spans[event.job_class] = max(self.spans[event.job_class], left)
+        max_left = self.max_client_waits[event.job_class] = max(self.max_client_waits[event.job_class], left)
         job = Job(
             event.request,
             spec,
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -44,7 +44,7 @@
         for send in sends:
             dispatcher.handle(now + 1, [io.ProgressReport(step, 0, send.worker, begun=True)])
             dispatcher.handle(now + 350_000, [outcome(step, 0, send.worker, io.Result.OK)])
-    assert dispatcher.context.mean_work > 200_000 and dispatcher.spans[0] > 4_000_000
+    assert dispatcher.context.mean_work > 200_000 and dispatcher.max_client_waits[0] > 4_000_000
     return dispatcher
 
 
@@ -53,7 +53,9 @@
     dispatcher, fresh = trained_dispatcher(), started(settings(SHORT, instances=40), 1, 2)
     dispatcher.handle(30_000_000, [io.SettingsChange(settings(SHORT, instances=40), [-1], [-1, -1])])
     context, timeouts = dispatcher.context, dispatcher.timeouts
-    assert context.mean_work == fresh.context.mean_work and dispatcher.spans == fresh.spans
+    assert (
+        context.mean_work == fresh.context.mean_work and dispatcher.max_client_waits == fresh.max_client_waits
+    )
     assert (timeouts.patience, timeouts.run_patience, timeouts.prompt) == (
         fresh.timeouts.patience,
         fresh.timeouts.run_patience,
@@ -66,9 +68,9 @@
 
 def test_averages_follow_class_names():
     dispatcher = trained_dispatcher()
-    work, span = dispatcher.context.mean_work, dispatcher.spans[0]
+    work, span = dispatcher.context.mean_work, dispatcher.max_client_waits[0]
     dispatcher.handle(30_000_000, [io.SettingsChange(settings(UNSAFE, SAFE), [1, 0], [0, 1])])
-    assert dispatcher.context.mean_work == work and dispatcher.spans == [0, span]
+    assert dispatcher.context.mean_work == work and dispatcher.max_client_waits == [0, span]
 
 
 def test_shorter_deadline_keeps_arrival_time():
@@ -148,13 +150,13 @@
     memory = export_memory(dispatcher)
     swapped = started(settings(UNSAFE, SAFE))
     swapped.handle(30_000_000, [io.Inherit(memory, [1, 0], [1, 0], [0, 1])])
-    assert swapped.spans == [memory.spans[1], memory.spans[0]]
+    assert swapped.max_client_waits == [memory.spans[1], memory.spans[0]]
     assert [bucket.level for bucket in swapped.tenants.quotas] == [memory.quotas[1][0], memory.quotas[0][0]]
     assert swapped.context.mean_work == dispatcher.context.mean_work
     other = started(settings(SHORT, SAFE))
     fresh = other.context.mean_work
     other.handle(30_000_000, [io.Inherit(memory, [-1, -1], [-1, -1], [-1, -1])])
-    assert other.context.mean_work == fresh and other.spans == [0, 0]
+    assert other.context.mean_work == fresh and other.max_client_waits == [0, 0]
     assert set(other.fleet.workers) == {1, 2}, "the machines are the same"
 
 
