--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -65,7 +65,7 @@
     def enqueue(self, job: Job) -> None:
         """Put it into its tenant's queue."""
 
-    def attend(self, attempt: Attempt) -> None:
+    def schedule_check(self, attempt: Attempt) -> None:
         """Start the response timeout of an attempt."""
 
 
@@ -159,7 +159,7 @@
             job.open += 1
             worker.add_load(job)
             dispatcher.context.level.waiting += not attempt.begun
-            dispatcher.attend(attempt)
+            dispatcher.schedule_check(attempt)
 
 
 def _apply_fleet_view(dispatcher: DispatcherParts, event: io.FleetView) -> None:
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -32,7 +32,7 @@
         self.tenants, self.reports = Tenants(), LoadReports(context)
         self.ejector, self.slow_start = OutlierEjector(context), SlowStart(context)
         self.attempts = Attempts(context, self.reports, self.ejector, self.slow_start)
-        self.selector, self.timeouts, self.attend = (
+        self.selector, self.timeouts, self.schedule_check = (
             self.attempts.selector,
             self.attempts.timeouts,
             self.attempts.schedule_check,
