--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -59,7 +59,7 @@
     def timeouts(self) -> ResponseTimeouts:
         """The response timeouts of the dispatcher."""
 
-    def arrive(self, event: io.Arrival, sent: Sequence[AttemptMemory] = ()) -> None:
+    def accept_job(self, event: io.Arrival, sent: Sequence[AttemptMemory] = ()) -> None:
         """Accept a job, with the attempts that were sent by another dispatcher."""
 
     def enqueue(self, job: Job) -> None:
@@ -112,7 +112,7 @@
     return {
         io.Inherit: lambda event: restore_memory(dispatcher, event),
         io.Leave: lambda event: _set_leaving(dispatcher, event),
-        io.Restore: lambda event: dispatcher.arrive(event.arrival, event.attempts),
+        io.Restore: lambda event: dispatcher.accept_job(event.arrival, event.attempts),
         io.TakeOver: lambda event: _take_over(dispatcher, event),
         io.GiveAway: lambda event: _give_away(dispatcher, event),
         io.FleetView: lambda event: _apply_fleet_view(dispatcher, event),
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -45,7 +45,7 @@
             io.SettingsChange(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants))
         )
         self.handlers: dict[type, Callable[..., None]] = {
-            io.Arrival: self.arrive,
+            io.Arrival: self.accept_job,
             io.Outcome: self._handle_outcome,
             io.ProgressReport: self.attempts.handle_progress,
             io.Timer: context.no_op,
@@ -89,7 +89,7 @@
             for old, spec in zip(event.classes, settings.classes, strict=True)
         ]
 
-    def arrive(self, event: io.Arrival, sent: Sequence[io.AttemptMemory] = ()) -> None:
+    def accept_job(self, event: io.Arrival, sent: Sequence[io.AttemptMemory] = ()) -> None:
         """Accept a job, with the attempts that other dispatchers have sent."""
         context, settings = self.context, self.context.settings
         spec = settings.classes[event.job_class]
