--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -28,7 +28,7 @@
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.context = context = DispatchContext(settings, seed, worker_subset)
-        self.jobs, self.fleet, self.loads = context.jobs, context.fleet, context.encode_loads
+        self.jobs, self.fleet, self.encode_loads = context.jobs, context.fleet, context.encode_loads
         self.tenants, self.reports = Tenants(), LoadReports(context)
         self.ejector, self.slow_start = OutlierEjector(context), SlowStart(context)
         self.attempts = Attempts(context, self.reports, self.ejector, self.slow_start)
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -174,7 +174,7 @@
 
     def heartbeat(self) -> Beat:
         """Return the current load of this process."""
-        return Beat(len(self._frontend.slots), self._dispatcher.loads())
+        return Beat(len(self._frontend.slots), self._dispatcher.encode_loads())
 
     def handle_heartbeat(self, heartbeat: Beat | None) -> None:
         """Note the load of the other process, None once it has ended."""
