--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -148,7 +148,7 @@
         elif (
             worker.strikes
             and settings.may_cancel
-            and any(self.selector.may_repeat(other, job) for other in self.selector.eligible(job))
+            and any(self.selector.may_retry(other, job) for other in self.selector.eligible(job))
         ):
             self.context.budget.spend()
             job.silent = attempt.begun > 0  # the outcome of the cancelled attempt re-queues the job
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -53,9 +53,9 @@
         if job.attempts_exhausted(self.context.settings.try_limit):
             return []
         pool = self.context.fleet.pool(job.spec.kind)
-        if job.never_ran() or (job.spec.scope is io.Scope.ALL and any(self.may_repeat(w, job) for w in pool)):
+        if job.never_ran() or (job.spec.scope is io.Scope.ALL and any(self.may_retry(w, job) for w in pool)):
             return pool  # without a copy: a scan would cost time in proportion to the fleet
-        return [worker for worker in pool if self.may_repeat(worker, job)]
+        return [worker for worker in pool if self.may_retry(worker, job)]
 
     def best(self, job: Job, pool: list[Worker]) -> Worker | None:
         """Return the best of the eligible workers in ``pool``, or None if all are busy."""
@@ -138,7 +138,7 @@
             + [w for w in self.slow_start.workers_with_allowance() if w.cold_left > 0 and w not in homes]
         )
 
-    def may_repeat(self, worker: Worker, job: Job) -> bool:
+    def may_retry(self, worker: Worker, job: Job) -> bool:
         """Whether a job may run here, although earlier attempts may have run (rule 2)."""
         spec, entry = job.spec, worker.entry
         for attempt in job.attempts:
@@ -167,7 +167,7 @@
             worker.queued_attempts and not job.key
         ):
             return None  # one job at a time while it errs; a queue excludes it, unless a key would be fetched
-        if (job.attempts and not self.may_repeat(worker, job)) or not self.slow_start.allows(worker, job):
+        if (job.attempts and not self.may_retry(worker, job)) or not self.slow_start.allows(worker, job):
             return None
         slowdown = context.slowdown(worker)
         if worker.free_at >= 0 and now - worker.free_at < context.mean_work * slowdown / max(1.0, pool.slots):
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -77,7 +77,7 @@
         return call
 
     monkeypatch.setattr(Worker, "capacity", counted(Worker.capacity))
-    monkeypatch.setattr(WorkerSelector, "may_repeat", counted(WorkerSelector.may_repeat))
+    monkeypatch.setattr(WorkerSelector, "may_retry", counted(WorkerSelector.may_retry))
     config = settings(
         io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5),
         instances=COUNT,
