--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -30,7 +30,7 @@
 class SlowStart(Protocol):
     """The slow start of cold workers."""
 
-    leaving: bool
+    handing_over: bool
 
 
 class ResponseTimeouts(Protocol):
@@ -130,7 +130,7 @@
 
 
 def _set_leaving(dispatcher: DispatcherParts, event: io.Leave) -> None:
-    dispatcher.slow_start.leaving = event.leaving
+    dispatcher.slow_start.handing_over = event.leaving
 
 
 def _take_over(dispatcher: DispatcherParts, event: io.TakeOver) -> None:
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -18,7 +18,7 @@
 
     def __init__(self, context: DispatchContext) -> None:
         self.context = context
-        self.leaving = False  # while a successor takes over, only it sends to cold workers
+        self.handing_over = False  # while a successor takes over, only it sends to cold workers
         self._window, self._open_workers = -1, list[Worker]()
 
     def is_cold(self, worker: Worker) -> bool:
@@ -27,7 +27,7 @@
 
     def allows(self, worker: Worker, job: Job) -> bool:
         """Whether a worker may get this job too: a cold one only within its allowance."""
-        return not self.is_cold(worker) or (not self.leaving and job.work <= self.allowance(worker))
+        return not self.is_cold(worker) or (not self.handing_over and job.work <= self.allowance(worker))
 
     def workers_with_allowance(self) -> list[Worker]:
         """Return the cold workers that this scheduler may send to in the current window.
