--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -387,7 +387,7 @@
             self._frontend.slots.end(self)
             self._stream.finish()
         elif self._waiting:
-            self._frontend.loop.soon(self._handle_next)
+            self._frontend.loop.call_soon(self._handle_next)
         else:
             self._send_continue()
 
--- a/carthinge/net/caller.py
+++ b/carthinge/net/caller.py
@@ -97,7 +97,7 @@
                 self._open_retry = self.loop.call_after(OPEN_RETRY_DELAY, self._connect)
                 return
             why = str(error)
-            self.loop.soon(lambda: self._break(why))
+            self.loop.call_soon(lambda: self._break(why))
             return
         self.state = ConnectionState.CONNECTING
 
--- a/carthinge/net/channel.py
+++ b/carthinge/net/channel.py
@@ -236,7 +236,7 @@
         except NOT_READY:
             pass
         except OSError:
-            self._loop.soon(self._end)
+            self._loop.call_soon(self._end)
             return
         interest = READ | (WRITE if self._out else 0)
         if interest != self._interest and not self.closed:
--- a/carthinge/net/loop.py
+++ b/carthinge/net/loop.py
@@ -76,7 +76,7 @@
         """Schedule a call for the first turn after a delay."""
         return self.call_at(self.clock.now() + delay, call)
 
-    def soon(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         """Schedule a call for the next turn, so that the caller can finish first."""
         self._next_turn_calls.append(call)
 
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -95,7 +95,7 @@
         if not self.connecting:
             self._flush()
         if len(self._out) > MAX_UNSENT_BYTES:  # guards against a client that sends requests and never reads
-            self._loop.soon(lambda: self._end("the peer does not read what is sent"))
+            self._loop.call_soon(lambda: self._end("the peer does not read what is sent"))
 
     def silent(self) -> bool:
         """Whether nothing is waiting to be read, not even the end of the stream."""
@@ -226,7 +226,7 @@
                 self.reset = True
                 self.state = StreamState.BROKEN
                 why = str(fault)
-                self._loop.soon(lambda: self._end(why))
+                self._loop.call_soon(lambda: self._end(why))
                 return
             self._send_retry = self._loop.call_after(RETRY_DELAY, self._resume_flush)
         self._update_interest()
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -262,7 +262,7 @@
 
     def free_later(self, caller: Caller) -> None:
         """Return a connection whose call was dropped to the pool, in the next turn of the loop."""
-        self._loop.soon(lambda: self.free(caller))
+        self._loop.call_soon(lambda: self.free(caller))
 
     def _add_idle(self, caller: Caller, since: timedelta) -> None:
         self._idle[caller] = since
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -279,7 +279,7 @@
         match message:
             case Hello(format=peer_format):
                 if peer_format == FORMAT:
-                    self._loop.soon(self._hand_over)  # after decisions on all pending events
+                    self._loop.call_soon(self._hand_over)  # after decisions on all pending events
                 elif self._channel is not None:
                     self._channel.close()
                     self._channel = None
