--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -115,7 +115,7 @@
         self.read_back.stop()
         all_written = writer.stop(timeout)
         writer.deliver()
-        self.loop.forget(writer.wake_in)
+        self.loop.unregister(writer.wake_in)
         writer.close()
         if writer.stopped:  # else the thread still uses the store, until the process ends
             self._store.close()
--- a/carthinge/net/channel.py
+++ b/carthinge/net/channel.py
@@ -178,7 +178,7 @@
         """Close the channel and the received sockets that no message has claimed."""
         if not self.closed:
             self.closed = True
-            self._loop.forget(self._sock)
+            self._loop.unregister(self._sock)
             for sock in (self._sock, *self._sockets):
                 self._loop.sockets.close(sock)
 
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -143,4 +143,4 @@
             if active:
                 self._loop.register(self._sock, READ, self._accept)
             else:
-                self._loop.forget(self._sock)
+                self._loop.unregister(self._sock)
--- a/carthinge/net/loop.py
+++ b/carthinge/net/loop.py
@@ -57,7 +57,7 @@
         """Change the events that a registered socket is watched for."""
         self._selector.modify(sock, interest, ready)
 
-    def forget(self, sock: socket.socket) -> None:
+    def unregister(self, sock: socket.socket) -> None:
         """Stop watching a socket."""
         self._selector.unregister(sock)
 
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -159,7 +159,7 @@
         for timer in (self._linger_timer, self._send_retry, self._receive_retry):
             if timer is not None:  # pending timers would keep closed streams in memory
                 timer.cancel()
-        self._loop.forget(self._sock)
+        self._loop.unregister(self._sock)
 
     def _ready(self, mask: int) -> None:
         if self.closed:  # by an earlier event of this turn
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -124,7 +124,7 @@
             return
         if leave:
             self._send(self._node.leave(self.loop.clock.now()))
-        self.loop.forget(self._sock)
+        self.loop.unregister(self._sock)
         self._sock.close()
         self._emit(
             FleetView(
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -190,7 +190,7 @@
     def _stop_listening(self) -> None:
         if self._listener is not None:
             with contextlib.suppress(KeyError):  # accepting is paused
-                self._loop.forget(self._listener)
+                self._loop.unregister(self._listener)
             self._loop.sockets.close(self._listener)
             self._listener = None
             with contextlib.suppress(OSError):
@@ -205,7 +205,7 @@
             return
         except OSError as error:  # it stays readable, which would make the loop spin
             log.logger().warning("upgrade_paused", why=str(error))
-            self._loop.forget(self._listener)
+            self._loop.unregister(self._listener)
             self._loop.call_after(ACCEPT_PAUSE, partial(self._accept_again, self._listener))
             return
         if self._channel is not None:  # one peer at a time
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -189,7 +189,9 @@
     while program._quiet_since is None:
         program.loop.turn(idle=False)
         let_pass(program, timedelta(milliseconds=10))
-    program.frontend._listener._loop.forget(program.frontend._listener._sock)  # a late report of the selector
+    program.frontend._listener._loop.unregister(
+        program.frontend._listener._sock
+    )  # a late report of the selector
     program.frontend._listener._registered = False
     client = dial(program).send(UP)
     let_pass(program, timedelta(seconds=1))
