--- a/carthinge/net/channel.py
+++ b/carthinge/net/channel.py
@@ -241,7 +241,7 @@
         interest = READ | (WRITE if self._out else 0)
         if interest != self._interest and not self.closed:
             self._interest = interest
-            self._loop.change(self._sock, interest, self._ready)
+            self._loop.modify(self._sock, interest, self._ready)
 
     def _end(self) -> None:
         if not self.closed:
--- a/carthinge/net/loop.py
+++ b/carthinge/net/loop.py
@@ -53,7 +53,7 @@
         """Call ``ready`` with the event mask when the socket is ready; OSError if the selector is full."""
         self._selector.register(sock, interest, ready)
 
-    def change(self, sock: socket.socket, interest: int, ready: Callable[[int], None]) -> None:
+    def modify(self, sock: socket.socket, interest: int, ready: Callable[[int], None]) -> None:
         """Change the events that a registered socket is watched for."""
         self._selector.modify(sock, interest, ready)
 
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -241,7 +241,7 @@
         reading = not self.connecting and self._receive_retry is None
         interest = (READ if reading else 0) | (WRITE if writing else 0)
         if not self.closed and interest != self._interest:
-            self._loop.change(self._sock, interest, self._ready)
+            self._loop.modify(self._sock, interest, self._ready)
             self._interest = interest
 
     def _end(self, why: str) -> None:
