--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -190,7 +190,7 @@
     def _earliest_arrival(self) -> timedelta:
         """Return the earliest time at which the data being read can have arrived."""
         loop = self._frontend.loop
-        return self._unread_since if loop.turns <= self._entered_turn + 1 else loop.since
+        return self._unread_since if loop.turns <= self._entered_turn + 1 else loop.ready_since
 
     def flushed(self) -> None:
         """Required by the stream; nothing to do."""
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -121,7 +121,7 @@
 
     def release_idle(self) -> Iterator[tuple[socket.socket, Incoming]]:
         """Release all idle connections, each with its state."""
-        arrived = self.loop.since // MICROSECOND
+        arrived = self.loop.ready_since // MICROSECOND
         for connection in self._connections():
             if connection.idle():
                 opened = self.slots.fresh.get(connection)
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -82,7 +82,7 @@
 
     def _accept(self, _: int) -> None:
         if not self._remaining:
-            self._since = self._loop.since
+            self._since = self._loop.ready_since
         self._remaining = True
         aborted = 0
         # Only the first connection is known to be pending: no room is made for further ones.
--- a/carthinge/net/loop.py
+++ b/carthinge/net/loop.py
@@ -41,7 +41,7 @@
         self.clock = Clock()
         self.sockets = Sockets()
         self.now = self.clock.now()  # time at which this turn's select returned
-        self.since = self.now  # earliest time at which a socket of this turn can have become ready
+        self.ready_since = self.now  # earliest time at which a socket of this turn can have become ready
         self.turns = 0  # number of turns begun
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[timedelta, int, Timer]] = []
@@ -87,7 +87,7 @@
         previous, self.now = self.now, self.clock.now()
         self.clock.check_for_step(self.now)
         # An event that ended a wait is new; one found at once may date back to the previous select.
-        self.since = self.now if self.now - started >= MILLISECOND else previous
+        self.ready_since = self.now if self.now - started >= MILLISECOND else previous
         self.turns += 1
         for _ in range(len(self._next_turn_calls)):
             self._next_turn_calls.popleft()()
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -368,7 +368,7 @@
         longest = max(spec.deadline for spec in decisions.classes) * MICROSECOND
         # From the earliest arrival of the signal: SIGKILL follows it, however late it is handled.
         drain = drain_schedule(
-            self.loop.since, longest, alone=decisions.instances == 1, leaving=self.upgrade.leaving
+            self.loop.ready_since, longest, alone=decisions.instances == 1, leaving=self.upgrade.leaving
         )
         self.frontend.draining = drain
         if self.frontend.durable is not None:  # open jobs go on after the next start
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -292,7 +292,7 @@
 def test_late_sigterm_counts_from_earliest_arrival(serve):
     """SIGKILL is timed from the signal, not from the turn that read it: late requests went unanswered."""
     program = serve(settings=FIVE_SCHEDULERS)
-    program.loop.since = signalled = program.loop.now - timedelta(milliseconds=400)
+    program.loop.ready_since = signalled = program.loop.now - timedelta(milliseconds=400)
     program._signalled(bytes((signal.SIGTERM,)))
     drain = program.frontend.draining
     assert drain.arriving_until < signalled + timedelta(milliseconds=700)
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -149,4 +149,4 @@
     listener = program.frontend._listener
     dial(program)
     turns(program, lambda: program.loop.turns == came + 2)
-    assert listener._since >= program.loop.since - timedelta(milliseconds=30)
+    assert listener._since >= program.loop.ready_since - timedelta(milliseconds=30)
