--- a/carthinge/net/sockets.py
+++ b/carthinge/net/sockets.py
@@ -83,7 +83,7 @@
         """Send a datagram."""
         sock.sendto(data, address)
 
-    def end_sending(self, sock: socket.socket) -> None:
+    def shut_down_sending(self, sock: socket.socket) -> None:
         """Shut down the sending direction."""
         sock.shutdown(socket.SHUT_WR)
 
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -216,7 +216,7 @@
                 del self._out[: self._loop.sockets.send(self._sock, self._out)]
             if self.state is StreamState.FINISHING:
                 self.state = StreamState.HALF_CLOSED
-                self._loop.sockets.end_sending(self._sock)
+                self._loop.sockets.shut_down_sending(self._sock)
             elif had_unsent:
                 self._owner.flushed()
         except NOT_READY:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -14,7 +14,7 @@
     "receive",
     "peek",
     "send",
-    "end_sending",
+    "shut_down_sending",
     "close",
     "receive_with_sockets",
     "send_with_socket",
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -175,7 +175,7 @@
     drained(program)
     client = dial(program).send(UP)
     sockets = faulty(program)
-    sockets.before("end_sending", lambda sock: client.send(b"x" * 100_000))
+    sockets.before("shut_down_sending", lambda sock: client.send(b"x" * 100_000))
     turns(program, lambda: program.frontend.slots.ending)
     for _ in range(10):
         program.loop.turn(idle=False)
