--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -75,7 +75,7 @@
 
     def has_left(self) -> bool:
         """Whether the client has closed the connection."""
-        return self._stream.left()
+        return self._stream.closed_by_peer()
 
     def awaits_answer(self) -> bool:
         """Whether the client waits for an answer and has sent nothing more."""
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -107,7 +107,7 @@
             return False
         return False
 
-    def left(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the peer has closed the connection and all of its data has been read."""
         if self.state is StreamState.CLOSED:
             return True
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -258,7 +258,7 @@
         while not owner.ends:
             assert time.monotonic() < until
             loop.turn(idle=False)
-        assert stream.closed and stream.left()
+        assert stream.closed and stream.closed_by_peer()
     loop.close()
 
 
