--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -67,7 +67,7 @@
 
     def silent(self) -> bool:
         """Whether there is nothing to read or to send."""
-        return not self._stream.unsent and self._stream.silent()
+        return not self._stream.unsent and self._stream.input_empty()
 
     def began(self) -> bool:
         """Whether a request has been read in part."""
--- a/carthinge/net/caller.py
+++ b/carthinge/net/caller.py
@@ -126,7 +126,7 @@
             self.state is ConnectionState.UP
             and self.call is None
             and self._stream is not None
-            and self._stream.silent()
+            and self._stream.input_empty()
         )
 
     def close(self) -> None:
--- a/carthinge/net/stream.py
+++ b/carthinge/net/stream.py
@@ -97,7 +97,7 @@
         if len(self._out) > MAX_UNSENT_BYTES:  # guards against a client that sends requests and never reads
             self._loop.call_soon(lambda: self._end("the peer does not read what is sent"))
 
-    def silent(self) -> bool:
+    def input_empty(self) -> bool:
         """Whether nothing is waiting to be read, not even the end of the stream."""
         try:
             self._loop.sockets.peek(self._sock)
