--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -181,7 +181,7 @@
         """Return how many connections fit without making room."""
         return self.slots.most - len(self.slots)
 
-    def room(self) -> str | None:
+    def make_room(self) -> str | None:
         """Close a connection if all slots are taken; returns the reason if none can be closed."""
         if len(self.slots) < self.slots.most:
             return None
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -65,7 +65,7 @@
         """Return how many connections fit without making room."""
         return MAX_CONNECTIONS - len(self.connections)
 
-    def room(self) -> str | None:
+    def make_room(self) -> str | None:
         """Close the oldest connection if all are in use.
 
         Every open connection either has sent no complete request or has its answer already.
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -23,7 +23,7 @@
     def free(self) -> int:
         """Return how many connections can be accepted without closing others."""
 
-    def room(self) -> str | None:
+    def make_room(self) -> str | None:
         """Make room for one connection; return the reason if that is impossible, else None."""
 
     def enter(self, sock: socket.socket, since: timedelta) -> None:
@@ -89,7 +89,7 @@
         for _ in range(min(MAX_ACCEPTS_PER_TURN, max(1, self._owner.free()))):
             if not self._registered:
                 return
-            why = self._owner.room()
+            why = self._owner.make_room()
             if why is not None:
                 self._back_off(why)
                 return
