--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -209,7 +209,7 @@
             self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
         return connection
 
-    def resting(self, why: str) -> None:
+    def accept_paused(self, why: str) -> None:
         """Log that accepting is paused."""
         self.counters.accept_pauses += 1
         if self.loop.now >= self._pause_logged_at + PAUSE_LOG_INTERVAL:
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -78,7 +78,7 @@
         """Add an accepted connection."""
         self.connections[_Connection(self, sock)] = None
 
-    def resting(self, why: str) -> None:
+    def accept_paused(self, why: str) -> None:
         """Log that accepting is paused."""
         log.logger().warning("operator_paused", why=why)
 
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -29,7 +29,7 @@
     def enter(self, sock: socket.socket, since: timedelta) -> None:
         """Take over an accepted connection, which may have waited in the backlog since ``since``."""
 
-    def resting(self, why: str) -> None:
+    def accept_paused(self, why: str) -> None:
         """Handle that accepting is paused."""
 
 
@@ -127,7 +127,7 @@
 
     def _back_off(self, why: str) -> None:
         """Pause, so that a listener that stays ready with no descriptor left does not spin."""
-        self._owner.resting(why)
+        self._owner.accept_paused(why)
         self._backing_off = True
         self._update()
         self._loop.call_after(ACCEPT_PAUSE, self._end_back_off)
