--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -177,7 +177,7 @@
 
     # ---- the listener ---------------------------------------------------------------------
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return how many connections fit without making room."""
         return self.slots.most - len(self.slots)
 
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -61,7 +61,7 @@
 
     # ---- the listener ---------------------------------------------------------------------
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return how many connections fit without making room."""
         return MAX_CONNECTIONS - len(self.connections)
 
@@ -70,7 +70,7 @@
 
         Every open connection either has sent no complete request or has its answer already.
         """
-        if not self.free():
+        if not self.free_slots():
             next(iter(self.connections)).close()
         return None
 
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -20,7 +20,7 @@
 class ListenerOwner(Protocol):
     """Handles accepted connections."""
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return how many connections can be accepted without closing others."""
 
     def make_room(self) -> str | None:
@@ -86,7 +86,7 @@
         self._remaining = True
         aborted = 0
         # Only the first connection is known to be pending: no room is made for further ones.
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, max(1, self._owner.free()))):
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, max(1, self._owner.free_slots()))):
             if not self._registered:
                 return
             why = self._owner.make_room()
