--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -166,7 +166,7 @@
 
     def has_backlog(self) -> bool:
         """Whether a connection waits in the backlog, whose requests count as received already."""
-        return self._listener is not None and self._listener.somebody_waits()
+        return self._listener is not None and self._listener.has_pending_connections()
 
     def close(self) -> None:
         """Stop listening and close all connections."""
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -108,7 +108,7 @@
                 return
             self._enter(sock)
         # With one new connection in each turn, all of them would otherwise be dated to the first.
-        self._remaining = self.somebody_waits()
+        self._remaining = self.has_pending_connections()
 
     def _enter(self, sock: socket.socket) -> None:
         try:
@@ -116,7 +116,7 @@
         except OSError:  # already reset, or the selector is full
             self._loop.sockets.close(sock)
 
-    def somebody_waits(self) -> bool:
+    def has_pending_connections(self) -> bool:
         """Whether a connection for this process is pending in the backlog."""
         return not (self._closed or self._paused) and self._has_pending()
 
