--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -21,7 +21,7 @@
 from carthinge.net import log
 from carthinge.net.channel import Waiting
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.http import GO_AHEAD, BadRequestError, Request, RequestReader, answer_bytes, call_bytes
+from carthinge.net.http import CONTINUE, BadRequestError, Request, RequestReader, answer_bytes, call_bytes
 from carthinge.net.loop import MICROSECOND, MILLISECOND
 from carthinge.net.stream import Stream
 from carthinge.net.tracked_request import TrackedRequest
@@ -183,7 +183,7 @@
             self._read_timer.stop()  # until then the client waits for this side
             return
         self._reader.expects_go_ahead = False
-        self._stream.write(GO_AHEAD)
+        self._stream.write(CONTINUE)
         now = self._frontend.loop.now
         self._read_timer.progressed(now, now)
 
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -178,7 +178,7 @@
             self._done.append(Answer(status, self.headers, bytes(self.body), keep_alive))
 
 
-GO_AHEAD: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 def answer_bytes(
