--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -177,12 +177,12 @@
 
     def _send_continue(self) -> None:
         """Answer ``Expect: 100-continue``, once all earlier requests are answered."""
-        if not self._reader.expects_go_ahead or self._finished:
+        if not self._reader.expects_continue or self._finished:
             return
         if self._current is not None or self._waiting:
             self._read_timer.stop()  # until then the client waits for this side
             return
-        self._reader.expects_go_ahead = False
+        self._reader.expects_continue = False
         self._stream.write(CONTINUE)
         now = self._frontend.loop.now
         self._read_timer.progressed(now, now)
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -89,7 +89,7 @@
         self._done: list[Request] = []
         self._bytes_fed = 0  # since the last complete message
         self._in_head = True
-        self.expects_go_ahead = False
+        self.expects_continue = False
         super().__init__(BODY_LIMIT)
         self.under_way = False
 
@@ -122,12 +122,12 @@
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > BODY_LIMIT:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
-        self.expects_go_ahead = self.headers.get(b"expect", b"").lower() == b"100-continue"
+        self.expects_continue = self.headers.get(b"expect", b"").lower() == b"100-continue"
 
     def on_message_complete(self) -> None:
         """Store the complete request (called by the parser)."""
         parser = self._parser
-        self.under_way = self.expects_go_ahead = False
+        self.under_way = self.expects_continue = False
         self._in_head = True
         self._done.append(
             Request(
