--- a/carthinge/net/caller.py
+++ b/carthinge/net/caller.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from carthinge.net.http import BODY_LIMIT, Address, Answer, AnswerReader
+from carthinge.net.http import MAX_BODY_BYTES, Address, Answer, AnswerReader
 from carthinge.net.loop import Loop, Timer
 from carthinge.net.sockets import LOCAL_SHORTAGES
 from carthinge.net.stream import Stream
@@ -59,7 +59,7 @@
     loop: Loop
     address: Address
     connect_timeout: timedelta
-    body_limit: int = BODY_LIMIT
+    body_limit: int = MAX_BODY_BYTES
     stall_timeout: timedelta | None = None  # between two parts of an answer
     may_open: Callable[[], bool] = _unlimited  # whether the pool has room for this connection
     call: Call | None = None
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -12,9 +12,9 @@
 
 from carthinge.net.stream import CHUNK
 
-BODY_LIMIT: Final = 64 * 1024
+MAX_BODY_BYTES: Final = 64 * 1024
 MAX_HEAD_BYTES: Final = 32 * 1024
-MAX_MESSAGE_BYTES: Final = 8 * BODY_LIMIT  # of one message on the wire, including all framing
+MAX_MESSAGE_BYTES: Final = 8 * MAX_BODY_BYTES  # of one message on the wire, including all framing
 Headers = dict[bytes, bytes]
 
 
@@ -90,7 +90,7 @@
         self._bytes_fed = 0  # since the last complete message
         self._in_head = True
         self.expects_continue = False
-        super().__init__(BODY_LIMIT)
+        super().__init__(MAX_BODY_BYTES)
         self.under_way = False
 
     def feed(self, data: bytes) -> list[Request]:
@@ -120,7 +120,7 @@
         """Check the Content-Length (called by the parser)."""
         self._in_head = False
         length = self.headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > BODY_LIMIT:
+        if length.isdigit() and int(length) > MAX_BODY_BYTES:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.expects_continue = self.headers.get(b"expect", b"").lower() == b"100-continue"
 
