--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -62,7 +62,7 @@
     def idle(self) -> bool:
         """Whether no request is being read, handled or answered."""
         return not (
-            self._current or self._waiting or self._reader.under_way or self._finished or self._stream.unsent
+            self._current or self._waiting or self._reader.in_message or self._finished or self._stream.unsent
         )
 
     def silent(self) -> bool:
@@ -71,7 +71,7 @@
 
     def began(self) -> bool:
         """Whether a request has been read in part."""
-        return self._reader.under_way
+        return self._reader.in_message
 
     def has_left(self) -> bool:
         """Whether the client has closed the connection."""
@@ -82,7 +82,7 @@
         return not (
             self._current is None
             or self._waiting
-            or self._reader.under_way
+            or self._reader.in_message
             or self._finished
             or self._stream.unsent
         )
@@ -168,9 +168,9 @@
             return
         if requests:
             self._frontend.slots.used(self)
-        if requests or not self._reader.under_way:
+        if requests or not self._reader.in_message:
             self._read_timer.stop()
-        if self._reader.under_way:  # with pipelining it may be another one than before
+        if self._reader.in_message:  # with pipelining it may be another one than before
             self._read_timer.progressed(arrived, arrived if self._requests else self._connected_at)
         self._handle_next()
         self._send_continue()
@@ -203,7 +203,7 @@
             why=why,
             requests=self._requests,
             owed=self._current is not None or bool(self._waiting),
-            half_read=self._reader.under_way,
+            half_read=self._reader.in_message,
         )
         self._frontend.slots.leave(self)
         self._waiting.clear()
@@ -374,7 +374,7 @@
         self._frontend.waiting.discard(self)
         if request is not None and request.method == b"HEAD":
             body = b""
-        more_to_answer = bool(self._waiting) or self._reader.under_way
+        more_to_answer = bool(self._waiting) or self._reader.in_message
         keep_alive = (
             readable
             and (more_to_answer or (keep_alive and self._frontend.keeps_connections()))
--- a/carthinge/net/caller.py
+++ b/carthinge/net/caller.py
@@ -178,7 +178,7 @@
             return
         self._cancel_timers()
         if answers:
-            self._answered(answers[0], further=len(answers) > 1 or self._reader.under_way)
+            self._answered(answers[0], further=len(answers) > 1 or self._reader.in_message)
         elif self.stall_timeout is not None:
             self._timer = self.loop.call_after(self.stall_timeout, lambda: self._break("answer stalled"))
 
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -60,7 +60,7 @@
         self.headers: Headers = {}
         self.body = bytearray()
         self._head_bytes = 0
-        self.under_way = True
+        self.in_message = True
 
     def on_url(self, part: bytes) -> None:
         self.target += part
@@ -91,7 +91,7 @@
         self._in_head = True
         self.expects_continue = False
         super().__init__(MAX_BODY_BYTES)
-        self.under_way = False
+        self.in_message = False
 
     def feed(self, data: bytes) -> list[Request]:
         """Return the requests that ``data`` completes; the reader is unusable after a BadRequestError."""
@@ -127,7 +127,7 @@
     def on_message_complete(self) -> None:
         """Store the complete request (called by the parser)."""
         parser = self._parser
-        self.under_way = self.expects_continue = False
+        self.in_message = self.expects_continue = False
         self._in_head = True
         self._done.append(
             Request(
@@ -143,7 +143,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._done: list[Answer] = []
         super().__init__(body_limit)
-        self.under_way = False
+        self.in_message = False
         self._ends_with_connection = False
 
     def feed(self, data: bytes) -> list[Answer]:
@@ -154,9 +154,9 @@
 
     def end(self) -> Answer | None:
         """Return the response that the end of the connection completes, None if it is incomplete."""
-        if not (self.under_way and self._ends_with_connection):
+        if not (self.in_message and self._ends_with_connection):
             return None
-        self.under_way = False
+        self.in_message = False
         return Answer(self._parser.get_status_code(), self.headers, bytes(self.body), keep_alive=False)
 
     def on_message_begin(self) -> None:
@@ -171,7 +171,7 @@
 
     def on_message_complete(self) -> None:
         """Store the complete response (called by the parser)."""
-        self.under_way = False
+        self.in_message = False
         status = self._parser.get_status_code()
         if status >= HTTPStatus.OK:
             keep_alive = self._parser.should_keep_alive()
