--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -94,7 +94,7 @@
     def deferred_arrival(self) -> timedelta:
         """Return the arrival time of the deferred request, from which its deadline runs."""
         assert self._current is not None
-        return self._current.came
+        return self._current.received_at
 
     def deferred_requests(self) -> bytes:
         """Return the deferred requests, encoded again."""
@@ -158,7 +158,7 @@
             requests = self._reader.feed(data)
             arrived = self._earliest_arrival()
             for request in requests:
-                request.came = arrived
+                request.received_at = arrived
             self._waiting.extend(requests)
             self._requests += len(requests)
             if len(self._waiting) > MAX_PIPELINED_REQUESTS:
@@ -275,7 +275,7 @@
                 request,
                 path,
                 frontend.translator,
-                lambda timeout: frontend.remaining_time(timeout, request.came),
+                lambda timeout: frontend.remaining_time(timeout, request.received_at),
                 frontend.tracker.by_id.__contains__,
             )
             if self._current is request:  # otherwise it is answered already
@@ -318,7 +318,7 @@
             retry_after = stay_away(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
             self._shed(retry_after, keep_alive=False)
             return
-        terms = replace(terms, patience=frontend.remaining_time(terms.patience, request.came))
+        terms = replace(terms, patience=frontend.remaining_time(terms.patience, request.received_at))
         log.logger().debug(
             "request_taken",
             id=job.id,
--- a/carthinge/front/translator.py
+++ b/carthinge/front/translator.py
@@ -102,7 +102,7 @@
     if request.method != b"POST" or not request.target.startswith(JOBS):
         return None
     try:
-        return request.came + parse_duration(header_text(request.headers, b"req-deadline"))
+        return request.received_at + parse_duration(header_text(request.headers, b"req-deadline"))
     except (BadRequestError, OverflowError):
         return None
 
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -35,7 +35,9 @@
     headers: Headers
     body: bytes
     keep_alive: bool
-    came: timedelta = timedelta()  #: earliest time at which its last byte can have arrived; set by the reader
+    received_at: timedelta = (
+        timedelta()
+    )  #: earliest time at which its last byte can have arrived; set by the reader
 
 
 @dataclass(slots=True)
