--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -126,7 +126,7 @@
         if site.list_is_pushed:
             self.start()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Switch to another discovery address.  The known list stays valid until the new one has answered.
 
         The whole list is requested, since revisions differ between discoveries: a watch from a revision of
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -197,7 +197,7 @@
             self.tracker.tell(self.table.take(self.config.known, Listing.CACHED))
         else:
             self.config = replace(self.config, discovery=Address.parse(state.discovery))
-            self.watch.move(self.config.discovery)
+            self.watch.set_address(self.config.discovery)
             site = self.config.site
             self.tracker.tell(
                 Inherit(
@@ -355,7 +355,7 @@
         self.worker_client.retune(site)
         if self.fleet is not None:
             self.fleet.retune(site)
-        self.watch.move(config.discovery)
+        self.watch.set_address(config.discovery)
         self.watch.retune(site)
 
     def _drain(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -42,7 +42,7 @@
     filled(program, dial)
     turns(program, lambda: program.counters.watch_failures)  # it is down
     discovery = Listener()
-    program.watch.move(Address("127.0.0.1", discovery.port))
+    program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
     reading(peer, program)
     peer.answer(200, json.dumps({"revision": 3, "complete": True, "members": []}).encode())
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -30,7 +30,7 @@
 def watching(serve, discovery):
     """A program that has made its first call of discovery, and the connection of that call."""
     program = serve()
-    program.watch.move(Address("127.0.0.1", discovery.port))
+    program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
     assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1"
     return program, peer
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("instances", [1, 200])
 def test_silent_watch_is_renewed_after_its_wait(serve, discovery, instances):
     program = serve(settings={**SETTINGS, "instances": instances})
-    program.watch.move(Address("127.0.0.1", discovery.port))
+    program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
     reading(peer, program)
     line = answer(program, peer, 9, member("s-0", 1))
@@ -133,7 +133,7 @@
     moved = Listener()
     body = json.dumps({"revision": 12, "complete": True, "members": []}).encode()
     old.answer(200, body)  # still unread when the address changes
-    program.watch.move(Address("127.0.0.1", moved.port))
+    program.watch.set_address(Address("127.0.0.1", moved.port))
     peer = taken(moved, program)
     assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1" and old.ended()
     assert program.table.ready == {"s-0"} and program.table.revision is None
@@ -145,8 +145,8 @@
     """Guards against the failure of the old call, reported a turn later, ending the new one."""
     program = serve()
     faulty(program).fail("connect", errno.ECONNREFUSED)  # fails in the call itself, not by a selector event
-    program.watch.move(Address("127.0.0.1", 1))
-    program.watch.move(Address("127.0.0.1", discovery.port))
+    program.watch.set_address(Address("127.0.0.1", 1))
+    program.watch.set_address(Address("127.0.0.1", discovery.port))
     call = program.watch._caller.call
     for _ in range(20):
         program.loop.turn(idle=False)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -116,7 +116,7 @@
     sockets.fail("connect", error, error)
     from carthinge.net.http import Address
 
-    program.watch.move(Address("127.0.0.1", worker.port))
+    program.watch.set_address(Address("127.0.0.1", worker.port))
     assert sockets.made["connect"] == 1
     for _ in range(2):
         let_pass(program, timedelta(milliseconds=20))
