--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -108,7 +108,7 @@
         if self.state is not WatchState.CALLING:
             self._call()
 
-    def begin(self, site: Site, first_list_received: Callable[[], None]) -> None:
+    def start_pushed(self, site: Site, first_list_received: Callable[[], None]) -> None:
         """Start watching a pushed list at the start of the process.
 
         ``first_list_received`` is called once the agent has sent its whole list, which a new process has to
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -216,7 +216,7 @@
         self.tracker.decide()
         listen = partial(self._listen, state is not None)
         if self.config.site.list_is_pushed:
-            self.watch.begin(self.config.site, listen)
+            self.watch.start_pushed(self.config.site, listen)
         elif state is None:
             self.loop.call_after(LISTEN_DELAY, listen)
         else:
