--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -98,7 +98,7 @@
         self._timing = WatchTiming.of(site)
         self._failures = 0  # in a row
         self._counters = counters
-        self._tell = tell
+        self._on_update = tell
         self._caller: Caller | None = None
         self._timer: Timer | None = None  # response timeout while CALLING, next call while PAUSING
         self._first_list_received: Callable[[], None] | None = None
@@ -199,7 +199,7 @@
         self._counters.list_lines += len(listed.members)
         self._failures = 0
         self._call()  # before the list is handled: the watch lasts only if the next call follows soon
-        self._tell(update)
+        self._on_update(update)
         self._notify_first_list()
 
     def broken(self, why: str) -> None:
@@ -224,7 +224,7 @@
         write = log.logger().warning if interval is None or self._failures == 1 else log.logger().debug
         write("discovery_failed", why=why, revision=self._table.revision)
         if interval is None:
-            self._tell(WorkerList(Listing.FAILED))
+            self._on_update(WorkerList(Listing.FAILED))
         else:
             self._timer = self._loop.call_after(interval if pause is None else pause, self.start)
 
