--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -304,7 +304,7 @@
             return "the attempt has timed out"
         if attempt.start_by is not None and now >= attempt.start_by:
             return "the window for a safe retry is over"
-        if attempt.target.left:
+        if attempt.target.draining_or_gone:
             return "the worker is leaving"
         return None if self.invariants.may_send(attempt) else "an invariant would be violated"
 
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -105,7 +105,7 @@
         would be new work for a worker that accepts none.
         """
         for attempt, call in list(self._calls.items()):
-            if attempt.target.left and call.caller.connecting:
+            if attempt.target.draining_or_gone and call.caller.connecting:
                 self._cancel_unsent(attempt, call, WORKER_LEAVING)
 
     def client_left(self, attempt: Attempt) -> None:
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -26,7 +26,7 @@
     id: str
     number: int
     address: Address
-    left: bool = False  # draining or gone: must get no new attempts
+    draining_or_gone: bool = False  # draining or gone: must get no new attempts
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
             self._store(member, entry.worker, address)
         if listing is not Listing.CHANGES:  # workers that are not listed are gone
             for target in self.targets.values():
-                target.left = target.id not in self.ready
+                target.draining_or_gone = target.id not in self.ready
         self.revision = listed.revision
         return WorkerList(listing, entries)
 
@@ -108,7 +108,7 @@
         for handed in state.targets:
             number = number_of(handed.id)
             self.targets[number] = WorkerEndpoint(
-                handed.id, number, Address.parse(handed.address), left=not handed.ready
+                handed.id, number, Address.parse(handed.address), draining_or_gone=not handed.ready
             )
             if handed.member is not None:
                 self._members[handed.id] = handed.member
@@ -127,7 +127,7 @@
     def _store(self, member: Member, number: int, address: Address) -> None:
         target = self.targets.setdefault(number, WorkerEndpoint(member.id, number, address))
         target.address = address
-        target.left = member.phase != "Ready"
+        target.draining_or_gone = member.phase != "Ready"
         self._members[member.id] = member
         (self.ready.add if member.phase == "Ready" else self.ready.discard)(member.id)
         (self.listed.add if member.phase != "Gone" else self.listed.discard)(member.id)
