--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -40,7 +40,7 @@
     at: timedelta
 
 
-def number_of(worker: str) -> int:
+def worker_number(worker: str) -> int:
     """Return a worker's number in the decision module, the same at all schedulers and after restarts."""
     return int.from_bytes(blake2b(worker.encode(), digest_size=8).digest(), "little")
 
@@ -106,7 +106,7 @@
         """Restore the predecessor's contents, converted with the zones and kinds of this process."""
         self.revision = state.revision
         for handed in state.targets:
-            number = number_of(handed.id)
+            number = worker_number(handed.id)
             self.targets[number] = WorkerEndpoint(
                 handed.id, number, Address.parse(handed.address), draining_or_gone=not handed.ready
             )
@@ -121,7 +121,7 @@
 
     def target(self, worker: str, address: Address) -> WorkerEndpoint:
         """Return a worker that another process has sent to, and add it if discovery has not listed it yet."""
-        number = number_of(worker)
+        number = worker_number(worker)
         return self.targets.setdefault(number, WorkerEndpoint(worker, number, address))
 
     def _store(self, member: Member, number: int, address: Address) -> None:
@@ -139,7 +139,7 @@
 
     def _entry(self, member: Member) -> WorkerEntry:
         return WorkerEntry(
-            number_of(member.id),
+            worker_number(member.id),
             self._zones.get(member.locality, 0),
             self._kinds.get(member.flavor, 0),
             member.cell,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -31,7 +31,7 @@
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Terms
 from carthinge.net.worker_client import WorkerClient
-from carthinge.net.worker_directory import WorkerDirectory, number_of
+from carthinge.net.worker_directory import WorkerDirectory, worker_number
 from carthinge.policy import Dispatcher
 from carthinge.scheduler.handover_peer import HandoverPeer
 from carthinge.scheduler.upgrade import Upgrade
@@ -289,7 +289,7 @@
 
     def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
         """Apply an exclusion in this process, before the dispatcher makes its next decision."""
-        number = number_of(worker)
+        number = worker_number(worker)
         known = confirmed or worker in self.table.listed or number in self.dispatcher.fleet.out
         if known:
             log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -16,7 +16,7 @@
 from carthinge.net.discovery import RESPONSE_MARGIN, RETRY_RESPONSE_MARGIN, RETRY_WAIT, WatchState
 from carthinge.net.http import Address
 from carthinge.net.loop import MICROSECOND
-from carthinge.net.worker_directory import number_of
+from carthinge.net.worker_directory import worker_number
 
 MAX_PROPAGATION = timedelta(seconds=6)
 
@@ -112,7 +112,7 @@
     assert "index=9&" in answer(program, peer, 9, drained)
     line = answer(program, peer, 8, ready, complete=complete)
     assert line == "GET /discovery/hosts HTTP/1.1", "the whole list must be requested"
-    assert program.table.ready == set() and program.table.targets[number_of("s-0")].draining_or_gone
+    assert program.table.ready == set() and program.table.targets[worker_number("s-0")].draining_or_gone
     assert "index=10&" in answer(program, peer, 10, ready)
     assert program.table.ready == {"s-0"}
 
@@ -176,7 +176,7 @@
     back = taken(discovery, program)
     reading(back, program)
     answer(program, back, 10, member("s-0", 1, phase="Terminating"), complete=False)
-    assert program.table.targets[number_of("s-0")].draining_or_gone
+    assert program.table.targets[worker_number("s-0")].draining_or_gone
 
 
 def test_connecting_attempt_stops_when_worker_drains(dial, watching, monkeypatch):
@@ -200,6 +200,9 @@
     turns(program, lambda: program.counters.attempts)
     assert program.worker_client._calls
     turns(program, lambda: program.counters.attempt_not_sent)
-    assert program.counters.attempts_written == 0 and program.table.targets[number_of("s-0")].draining_or_gone
+    assert (
+        program.counters.attempts_written == 0
+        and program.table.targets[worker_number("s-0")].draining_or_gone
+    )
     client.close()
     worker.close()
--- a/tests/test_durable_crashes.py
+++ b/tests/test_durable_crashes.py
@@ -14,7 +14,7 @@
 from carthinge import interface as io
 from carthinge.durable.records import Ended, Granted, JobState
 from carthinge.durable.store import Store, Time
-from carthinge.net.worker_directory import number_of
+from carthinge.net.worker_directory import worker_number
 
 OPERATOR_FILE = FILE  # of the fixture `world`
 
@@ -140,7 +140,7 @@
 
 def granted(world, req_id, worker):
     """Return a grant of the job to the worker, of which nothing was sent."""
-    entry = msgspec.msgpack.encode(io.WorkerEntry(number_of(world.names[worker])))
+    entry = msgspec.msgpack.encode(io.WorkerEntry(worker_number(world.names[worker])))
     address = f"127.0.0.1:{world.workers[worker].port}"
     return lambda jobs, now: Granted(
         1, jobs[req_id], 0, world.names[worker], address, entry, now, now + 9_000_000
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from carthinge.net.clock import MAX_PERIODS, MIN_STEP, Clock
 from carthinge.net.loop import MICROSECOND
 from carthinge.net.members import Listed, Member
-from carthinge.net.worker_directory import WorkerDirectory, number_of
+from carthinge.net.worker_directory import WorkerDirectory, worker_number
 from carthinge.settings import Facts, read_site
 
 STEPS = [timedelta(hours=1), timedelta(hours=-1), timedelta(seconds=3), timedelta(seconds=-3)]
@@ -126,7 +126,7 @@
     program.loop.turn(idle=False)
     lists(program, member("s-0", 1, up_since_ms=time.time_ns() // 1_000_000))
     turns(program, lambda: not program.tracker.events)
-    worker = program.dispatcher.fleet.workers[number_of("s-0")]
+    worker = program.dispatcher.fleet.workers[worker_number("s-0")]
     assert 0.3 < program.dispatcher.context.capacity_share(worker) < 0.4
 
 
