--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -81,7 +81,7 @@
     now = 100_000_000
 
     def apply(body: bytes, listing: io.Listing) -> None:
-        module.handle(now, [table.take(_LISTS.decode(body), listing)])
+        module.handle(now, [table.apply_list(_LISTS.decode(body), listing)])
 
     whole, change = encode_list(size), encode_list(10, 1)
     first = median_time(lambda: apply(whole, io.Listing.CACHED), 1)
--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -185,7 +185,7 @@
                 log.logger().warning("list_out_of_order", revision=listed.revision, known=revision)
                 self._call(whole=True)
                 return
-            update = self._table.take(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
+            update = self._table.apply_list(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
         except (msgspec.MsgspecError, ValueError, OverflowError) as fault:
             self._failed(f"unreadable: {fault}")
             return
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -69,7 +69,7 @@
         self._set_positions(site)
         return WorkerList(Listing.WHOLE, self._entries())
 
-    def take(self, listed: Listed, listing: Listing) -> WorkerList:
+    def apply_list(self, listed: Listed, listing: Listing) -> WorkerList:
         """Store a list from discovery and convert it for the decision module.
 
         It is parsed as a whole first: if a part of an invalid list were stored, the rest would never be
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -194,7 +194,7 @@
     def start_serving(self, state: State | None) -> None:
         """Start serving, from the state of the previous process if there is one."""
         if state is None:
-            self.tracker.tell(self.table.take(self.config.known, Listing.CACHED))
+            self.tracker.tell(self.table.apply_list(self.config.known, Listing.CACHED))
         else:
             self.config = replace(self.config, discovery=Address.parse(state.discovery))
             self.watch.set_address(self.config.discovery)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -105,14 +105,14 @@
     table = WorkerDirectory(read_site(Facts.from_nested(SETTINGS)), clock)
     machine.advance(30 * S)
     named = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
-    (first,) = table.take(named, Listing.WHOLE).entries
+    (first,) = table.apply_list(named, Listing.WHOLE).entries
     machine.advance(4 * S)
     machine.step(step)
     clock.check_for_step(clock.now())
-    (again,) = table.take(named, Listing.WHOLE).entries
+    (again,) = table.apply_list(named, Listing.WHOLE).entries
     assert again.started == first.started == (clock.now() - 4 * S) // MICROSECOND
     anew = Listed(revision=2, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
-    (restarted,) = table.take(anew, Listing.WHOLE).entries
+    (restarted,) = table.apply_list(anew, Listing.WHOLE).entries
     assert restarted.started == clock.now() // MICROSECOND
 
 
