--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -88,7 +88,7 @@
         self.revision = listed.revision
         return WorkerList(listing, entries)
 
-    def told(self) -> list[Target]:
+    def handover_targets(self) -> list[Target]:
         """Return the contents for the successor process."""
         return [
             Target(
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -69,7 +69,7 @@
         return State(
             str(config.discovery),
             self._directory.revision,
-            self._directory.told(),
+            self._directory.handover_targets(),
             export_memory(self._dispatcher),
             site.classes,
             site.tenants,
