--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -102,7 +102,7 @@
             for target in self.targets.values()
         ]
 
-    def go_on(self, state: HandedOver) -> WorkerList:
+    def restore(self, state: HandedOver) -> WorkerList:
         """Restore the predecessor's contents, converted with the zones and kinds of this process."""
         self.revision = state.revision
         for handed in state.targets:
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -207,7 +207,7 @@
                     positions(site.kinds, state.kinds),
                 )
             )
-            self.tracker.tell(self.table.go_on(state))
+            self.tracker.tell(self.table.restore(state))
             self.handover_peer.share_descriptors(0)
         if self.durable is not None:
             self.durable.open()
