--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -119,7 +119,7 @@
         self.listed.update(handed.id for handed in state.targets if handed.listed)
         return WorkerList(Listing.CACHED, self._entries())
 
-    def target(self, worker: str, address: Address) -> WorkerEndpoint:
+    def get_or_add(self, worker: str, address: Address) -> WorkerEndpoint:
         """Return a worker that another process has sent to, and add it if discovery has not listed it yet."""
         number = worker_number(worker)
         return self.targets.setdefault(number, WorkerEndpoint(worker, number, address))
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -152,7 +152,7 @@
             effect=self._frontend.translator.effect(tracked.class_name),
         )
         for number, sent in enumerate(tracked.attempts):
-            target = self._directory.target(sent.worker, Address.parse(sent.address))
+            target = self._directory.get_or_add(sent.worker, Address.parse(sent.address))
             taken.attempts.append(
                 Attempt(
                     taken,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -129,7 +129,7 @@
             BOOT_ID_PATH.read_text().strip(),
             self._terms_of,
             lambda number: self.dispatcher.fleet.workers[number].entry,
-            self.table.target,
+            self.table.get_or_add,
         )
         self.frontend.callbacks.durable = self.durable
         self.worker_client.lease = options.leases.duration
