--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -69,7 +69,7 @@
         """Whether there is nothing to read or to send."""
         return not self._stream.unsent and self._stream.input_empty()
 
-    def began(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a request has been read in part."""
         return self._reader.in_message
 
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -131,7 +131,9 @@
     def release_put_off(self) -> Iterator[tuple[socket.socket, Incoming]]:
         """Release the connections whose request is left to the other process, with that request."""
         for connection in self._connections():
-            if connection.put_off and not connection.began():  # a partially read request would be lost
+            if (
+                connection.put_off and not connection.has_partial_request()
+            ):  # a partially read request would be lost
                 arrived = connection.deferred_arrival() // MICROSECOND
                 read = connection.deferred_requests()
                 yield connection.release(), Incoming(False, read, arrived, arrived)
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -24,7 +24,7 @@
     def silent(self) -> bool:
         """Whether there is no unread input and no unsent output."""
 
-    def began(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a request has been read in part."""
 
     def close(self, reason: CloseReason) -> None:
@@ -94,7 +94,7 @@
             holder
             for holder, opened in self.fresh.items()
             if now >= silence_deadline(opened.connected, opened.entered)
-            and not holder.began()
+            and not holder.has_partial_request()
             and holder.silent()
         ]
 
@@ -110,7 +110,9 @@
         past_grace = [
             holder for holder, opened in self.fresh.items() if now >= opened.entered + first_request_grace
         ]
-        past_grace.sort(key=lambda holder: holder.began())  # partly read requests would be lost: last
+        past_grace.sort(
+            key=lambda holder: holder.has_partial_request()
+        )  # partly read requests would be lost: last
         if len(self.fresh) > self.most * MAX_FRESH_FRACTION:  # spares the kept ones
             return _first_silent(past_grace)
         return _first_silent(self.kept, idle=True) or _first_silent(past_grace)
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -19,7 +19,7 @@
     def silent(self):
         return not self.unread
 
-    def began(self):
+    def has_partial_request(self):
         return False
 
     def close(self, reason):
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -56,7 +56,10 @@
         client.send(UP)
         assert reading(client, program)[0].endswith("200 OK")
     client.send(UP[:4])
-    turns(program, lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].began())
+    turns(
+        program,
+        lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
+    )
     let_pass(program, OWED_WITHIN - timedelta(milliseconds=150))  # margin for delays of the scheduler
     program.loop.turn(idle=False)
     assert reading(client, program)[0].endswith("408 Request Timeout") and client.ended()
