--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -13,7 +13,7 @@
 from carthinge.net import log
 from carthinge.net.channel import Incoming, Waiting
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.connection_slots import ConnectionSlots, Holder, Opened
+from carthinge.net.connection_slots import ConnectionSlots, InboundConnection, Opened
 from carthinge.net.counters import Counters
 from carthinge.net.deadlines import Drain, patience_left
 from carthinge.net.listener import Listener
@@ -54,7 +54,7 @@
         self.callbacks = Callbacks(tracker, worker_client, counters, other_process)
         self.durable: DurableFront | None = None
         self.slots = ConnectionSlots(max_connections)
-        self.waiting: set[Holder] = set()  # connections whose clients wait for the answer to a job
+        self.waiting: set[InboundConnection] = set()  # connections whose clients wait for the answer to a job
         self._listener: Listener | None = None
         self._checking_fresh = False
         self._pause_logged_at = timedelta()
--- a/carthinge/front/gate.py
+++ b/carthinge/front/gate.py
@@ -7,7 +7,7 @@
 
 from carthinge.front.call_backs import Callbacks
 from carthinge.front.translator import Translator
-from carthinge.net.connection_slots import ConnectionSlots, Holder
+from carthinge.net.connection_slots import ConnectionSlots, InboundConnection
 from carthinge.net.counters import Counters
 from carthinge.net.loop import Loop
 from carthinge.net.request_tracker import RequestTracker
@@ -27,7 +27,7 @@
     durable: DurableFront | None
     max_retry_after: timedelta
     slots: ConnectionSlots
-    waiting: set[Holder]  #: connections whose clients wait for the answer to a job
+    waiting: set[InboundConnection]  #: connections whose clients wait for the answer to a job
 
     def up(self) -> bool:
         """Whether new jobs are accepted."""
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -15,7 +15,7 @@
 MAX_FRESH_FRACTION: Final = 0.5  # of all slots; beyond it, connections without a request evict each other
 
 
-class Holder(Protocol):
+class InboundConnection(Protocol):
     """An incoming connection."""
 
     def idle(self) -> bool:
@@ -51,44 +51,44 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.fresh: OrderedDict[Holder, Opened] = OrderedDict()  # no request yet
-        self.kept: OrderedDict[Holder, None] = OrderedDict()  # least recently used first
-        self.ending: OrderedDict[Holder, None] = OrderedDict()  # their last response is written
+        self.fresh: OrderedDict[InboundConnection, Opened] = OrderedDict()  # no request yet
+        self.kept: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently used first
+        self.ending: OrderedDict[InboundConnection, None] = OrderedDict()  # their last response is written
 
     def __len__(self) -> int:
         return len(self.fresh) + len(self.kept) + len(self.ending)
 
-    def all(self) -> list[Holder]:
+    def all(self) -> list[InboundConnection]:
         """Return all connections."""
         return [*self.fresh, *self.kept, *self.ending]
 
-    def enter(self, holder: Holder, opened: Opened) -> None:
+    def enter(self, holder: InboundConnection, opened: Opened) -> None:
         """Add a new connection."""
         self.fresh[holder] = opened
 
-    def used(self, holder: Holder) -> None:
+    def used(self, holder: InboundConnection) -> None:
         """Note that a complete request has been received on a connection."""
         self.fresh.pop(holder, None)
         if holder not in self.ending:
             self.kept[holder] = None
             self.kept.move_to_end(holder)
 
-    def misused(self, holder: Holder) -> None:
+    def misused(self, holder: InboundConnection) -> None:
         """Note that a request was invalid: the connection becomes the first kept one to be evicted."""
         if holder in self.kept:
             self.kept.move_to_end(holder, last=False)
 
-    def end(self, holder: Holder) -> None:
+    def end(self, holder: InboundConnection) -> None:
         """Note that the last response on a connection is written."""
         if self.fresh.pop(holder, self) is not self or self.kept.pop(holder, self) is not self:
             self.ending[holder] = None
 
-    def leave(self, holder: Holder) -> None:
+    def leave(self, holder: InboundConnection) -> None:
         """Remove a closed connection."""
         for queue in (self.fresh, self.kept, self.ending):
             queue.pop(holder, None)
 
-    def overdue(self, now: timedelta) -> list[Holder]:
+    def overdue(self, now: timedelta) -> list[InboundConnection]:
         """Return the connections that have received nothing in time, not even unread input."""
         return [
             holder
@@ -98,7 +98,7 @@
             and holder.silent()
         ]
 
-    def make_room(self, now: timedelta, first_request_grace: timedelta) -> Holder | None:
+    def make_room(self, now: timedelta, first_request_grace: timedelta) -> InboundConnection | None:
         """Return the connection to close for a new one if all slots are taken, None if all are busy.
 
         A connection with unread input counts as busy, and so does one that was accepted less than
@@ -118,6 +118,6 @@
         return _first_silent(self.kept, idle=True) or _first_silent(past_grace)
 
 
-def _first_silent(queue: Iterable[Holder], idle: bool = False) -> Holder | None:
+def _first_silent(queue: Iterable[InboundConnection], idle: bool = False) -> InboundConnection | None:
     """Return the first silent connection that is also idle if ``idle`` is set."""
     return next((holder for holder in queue if (not idle or holder.idle()) and holder.silent()), None)
