--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -13,7 +13,7 @@
 from carthinge.net import log
 from carthinge.net.channel import Incoming, Waiting
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.connection_slots import ConnectionSlots, InboundConnection, Opened
+from carthinge.net.connection_slots import ConnectionSlots, ConnectionTimes, InboundConnection
 from carthinge.net.counters import Counters
 from carthinge.net.deadlines import Drain, patience_left
 from carthinge.net.listener import Listener
@@ -205,7 +205,7 @@
         """``connected``: earliest time of the connect.  ``arrived``: earliest arrival of unread data."""
         connected = self.loop.now if connected is None else connected
         connection = ClientConnection(self, sock, connected, connected if arrived is None else arrived)
-        self.slots.enter(connection, Opened(connected, self.loop.now))
+        self.slots.enter(connection, ConnectionTimes(connected, self.loop.now))
         if not self._checking_fresh:
             self._checking_fresh = True
             self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class ConnectionTimes:
     """The times at which a connection began."""
 
     connected: timedelta  #: earliest time at which its client can have connected
@@ -51,7 +51,7 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.fresh: OrderedDict[InboundConnection, Opened] = OrderedDict()  # no request yet
+        self.fresh: OrderedDict[InboundConnection, ConnectionTimes] = OrderedDict()  # no request yet
         self.kept: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently used first
         self.ending: OrderedDict[InboundConnection, None] = OrderedDict()  # their last response is written
 
@@ -62,7 +62,7 @@
         """Return all connections."""
         return [*self.fresh, *self.kept, *self.ending]
 
-    def enter(self, holder: InboundConnection, opened: Opened) -> None:
+    def enter(self, holder: InboundConnection, opened: ConnectionTimes) -> None:
         """Add a new connection."""
         self.fresh[holder] = opened
 
