--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -309,7 +309,7 @@
         if job.id in self._frontend.tracker.by_id:  # callbacks identify their job by this id
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: in use by another request")
         frontend = self._frontend
-        if len(frontend.waiting) >= frontend.slots.most * MAX_WAITING_SHARE:
+        if len(frontend.waiting) >= frontend.slots.max_connections * MAX_WAITING_SHARE:
             frontend.counters.taken += 1
             frontend.counters.shed += 1
             frontend.counters.shed_for_room += 1
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -181,11 +181,11 @@
 
     def free_slots(self) -> int:
         """Return how many connections fit without making room."""
-        return self.slots.most - len(self.slots)
+        return self.slots.max_connections - len(self.slots)
 
     def make_room(self) -> str | None:
         """Close a connection if all slots are taken; returns the reason if none can be closed."""
-        if len(self.slots) < self.slots.most:
+        if len(self.slots) < self.slots.max_connections:
             return None
         holder = self.slots.make_room(self.loop.now, self._first_bytes_timeout)
         if holder is None:
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, most: int) -> None:
-        self.most = most
+        self.max_connections = most
         self.fresh: OrderedDict[InboundConnection, ConnectionTimes] = OrderedDict()  # no request yet
         self.kept: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently used first
         self.ending: OrderedDict[InboundConnection, None] = OrderedDict()  # their last response is written
@@ -113,7 +113,7 @@
         past_grace.sort(
             key=lambda holder: holder.has_partial_request()
         )  # partly read requests would be lost: last
-        if len(self.fresh) > self.most * MAX_FRESH_FRACTION:  # spares the kept ones
+        if len(self.fresh) > self.max_connections * MAX_FRESH_FRACTION:  # spares the kept ones
             return _first_silent(past_grace)
         return _first_silent(self.kept, idle=True) or _first_silent(past_grace)
 
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -60,7 +60,7 @@
         self._durable = durable
         self._config = config
         self.fleet: FleetLink | None = None
-        self._max_slots, self._max_outgoing = frontend.slots.most, worker_client.most
+        self._max_slots, self._max_outgoing = frontend.slots.max_connections, worker_client.most
 
     def state(self) -> State:
         """Return the state that the successor goes on from."""
@@ -122,7 +122,7 @@
 
     def peer_ended(self) -> None:
         """Use all slots and descriptors again, as the other process has ended."""
-        self._frontend.slots.most, self._worker_client.most = self._max_slots, self._max_outgoing
+        self._frontend.slots.max_connections, self._worker_client.most = self._max_slots, self._max_outgoing
 
     def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
         """Handle a callback that the other process received."""
@@ -184,7 +184,7 @@
 
     def share_descriptors(self, slots: int) -> None:
         """Reduce the limits by the client slots that the old process still holds; both count together."""
-        self._frontend.slots.most = max(MIN_CLIENT_SLOTS, self._max_slots - slots)
+        self._frontend.slots.max_connections = max(MIN_CLIENT_SLOTS, self._max_slots - slots)
         self._worker_client.most = self._max_outgoing // 2
 
     def hand_over_ready(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,8 +16,8 @@
 
 def filled(program, dial, partial=b""):
     """Connect five times as many clients as there are slots, silent or with a partial request."""
-    clients = [dial(program).send(partial) for _ in range(5 * program.frontend.slots.most)]
-    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.most)
+    clients = [dial(program).send(partial) for _ in range(5 * program.frontend.slots.max_connections)]
+    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
     return clients
 
 
@@ -69,9 +69,9 @@
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert (
-        limited.frontend.slots.most + limited.worker_client.most
+        limited.frontend.slots.max_connections + limited.worker_client.most
         < 200
-        < unlimited.frontend.slots.most + unlimited.worker_client.most
+        < unlimited.frontend.slots.max_connections + unlimited.worker_client.most
     )
 
 
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -95,8 +95,8 @@
     turns(program, lambda: len(program.frontend.slots.fresh) == 4)
     for _ in range(3):
         program.loop.turn(idle=False)
-    silent = [dial(program) for _ in range(program.frontend.slots.most)]
-    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.most)
+    silent = [dial(program) for _ in range(program.frontend.slots.max_connections)]
+    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
     let_pass(program, timedelta(seconds=1))
     turns(program, lambda: program.counters.connections_in_closed_early == 4)
     assert all(peer.ended() for peer in silent[:4])
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -26,7 +26,7 @@
 def kept(program, dial):
     """Fill all slots with connections that have had a response."""
     peers = []
-    while len(program.frontend.slots) < program.frontend.slots.most:
+    while len(program.frontend.slots) < program.frontend.slots.max_connections:
         peers.append(dial(program).send(UP))
         turns(program, lambda: len(program.frontend.slots.kept) == len(peers))
     for peer in peers:
