--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -167,7 +167,7 @@
             self._reject_all(error)
             return
         if requests:
-            self._frontend.slots.used(self)
+            self._frontend.slots.mark_used(self)
         if requests or not self._reader.in_message:
             self._read_timer.stop()
         if self._reader.in_message:  # with pipelining it may be another one than before
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -99,7 +99,7 @@
         arrived = now if incoming.came_us is None else incoming.came_us
         connection = self._add_connection(sock, connected * MICROSECOND, arrived * MICROSECOND)
         if not incoming.fresh:
-            self.slots.used(connection)
+            self.slots.mark_used(connection)
         if incoming.read:
             connection.received(incoming.read)
 
@@ -115,7 +115,7 @@
         """Take over a connection whose client waits for an answer."""
         self.counters.connections_taken_over += 1
         connection = self._add_connection(sock)
-        self.slots.used(connection)
+        self.slots.mark_used(connection)
         connection.expect_answer(keep_alive)
         return connection
 
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -66,7 +66,7 @@
         """Add a new connection."""
         self.fresh[holder] = opened
 
-    def used(self, holder: InboundConnection) -> None:
+    def mark_used(self, holder: InboundConnection) -> None:
         """Note that a complete request has been received on a connection."""
         self.fresh.pop(holder, None)
         if holder not in self.ending:
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -35,7 +35,7 @@
     for number, connection in enumerate(connection for group in groups for connection in group):
         slots.enter(connection, ConnectionTimes(timedelta(seconds=number), timedelta(seconds=number)))
     for connection in groups[0] + groups[1]:
-        slots.used(connection)
+        slots.mark_used(connection)
     return slots, *groups
 
 
@@ -51,7 +51,7 @@
     slots, _, _, fresh = filled(4, fresh=3, kept=1)
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is fresh[0]
     slots, kept, _, _ = filled(4, fresh=2, kept=2)
-    slots.used(kept[0])
+    slots.mark_used(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[1]
     slots.misused(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0]
