--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -332,7 +332,7 @@
         self._frontend.counters.bad_input += 1
         log.logger().debug("bad_input", connection=self.number, status=int(error.status), why=str(error))
         self._answer(error.status, f"{error}\n".encode(), readable=readable)
-        self._frontend.slots.misused(self)
+        self._frontend.slots.evict_first(self)
 
     # ---- answers --------------------------------------------------------------------------
 
@@ -355,7 +355,7 @@
     def reject(self) -> None:
         """Answer that no worker can use the request."""
         self._answer(HTTPStatus.BAD_REQUEST, b"no worker can use this request\n")
-        self._frontend.slots.misused(self)
+        self._frontend.slots.evict_first(self)
 
     def _answer(
         self,
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -73,7 +73,7 @@
             self.kept[holder] = None
             self.kept.move_to_end(holder)
 
-    def misused(self, holder: InboundConnection) -> None:
+    def evict_first(self, holder: InboundConnection) -> None:
         """Note that a request was invalid: the connection becomes the first kept one to be evicted."""
         if holder in self.kept:
             self.kept.move_to_end(holder, last=False)
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -53,7 +53,7 @@
     slots, kept, _, _ = filled(4, fresh=2, kept=2)
     slots.mark_used(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[1]
-    slots.misused(kept[0])
+    slots.evict_first(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0]
 
 
