--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -205,7 +205,7 @@
         """``connected``: earliest time of the connect.  ``arrived``: earliest arrival of unread data."""
         connected = self.loop.now if connected is None else connected
         connection = ClientConnection(self, sock, connected, connected if arrived is None else arrived)
-        self.slots.enter(connection, ConnectionTimes(connected, self.loop.now))
+        self.slots.add(connection, ConnectionTimes(connected, self.loop.now))
         if not self._checking_fresh:
             self._checking_fresh = True
             self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -62,7 +62,7 @@
         """Return all connections."""
         return [*self.fresh, *self.kept, *self.ending]
 
-    def enter(self, holder: InboundConnection, opened: ConnectionTimes) -> None:
+    def add(self, holder: InboundConnection, opened: ConnectionTimes) -> None:
         """Add a new connection."""
         self.fresh[holder] = opened
 
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -33,7 +33,7 @@
         for count, idle in ((kept, True), (busy, False), (fresh, True))
     ]
     for number, connection in enumerate(connection for group in groups for connection in group):
-        slots.enter(connection, ConnectionTimes(timedelta(seconds=number), timedelta(seconds=number)))
+        slots.add(connection, ConnectionTimes(timedelta(seconds=number), timedelta(seconds=number)))
     for connection in groups[0] + groups[1]:
         slots.mark_used(connection)
     return slots, *groups
@@ -73,15 +73,15 @@
     """Guards against a timeout that starts at accept, so that a connection is closed too late by its wait."""
     slots = ConnectionSlots(4)
     younger, waited = Connection(), Connection()
-    slots.enter(younger, ConnectionTimes(timedelta(seconds=9), timedelta(seconds=9)))
-    slots.enter(waited, ConnectionTimes(timedelta(seconds=7), timedelta(seconds=9)))
+    slots.add(younger, ConnectionTimes(timedelta(seconds=9), timedelta(seconds=9)))
+    slots.add(waited, ConnectionTimes(timedelta(seconds=7), timedelta(seconds=9)))
     assert slots.overdue(timedelta(seconds=7) + READ_TIMEOUT) == [waited]
 
 
 def test_long_backlog_wait_leaves_minimum_time():
     slots = ConnectionSlots(4)
     waited = Connection()
-    slots.enter(waited, ConnectionTimes(timedelta(seconds=1), timedelta(seconds=9)))
+    slots.add(waited, ConnectionTimes(timedelta(seconds=1), timedelta(seconds=9)))
     assert slots.overdue(timedelta(seconds=9)) == []
     assert slots.overdue(timedelta(seconds=9) + LAST_CHANCE) == [waited]
 
