--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -139,7 +139,7 @@
 
     def release(self) -> socket.socket:
         """Detach the socket and return it, to be handed over to another process."""
-        self._frontend.slots.leave(self)
+        self._frontend.slots.remove(self)
         self._frontend.waiting.discard(self)
         return self._stream.release()
 
@@ -205,7 +205,7 @@
             owed=self._current is not None or bool(self._waiting),
             half_read=self._reader.in_message,
         )
-        self._frontend.slots.leave(self)
+        self._frontend.slots.remove(self)
         self._waiting.clear()
         self._read_timer.stop()
         self._head_of_line.stop()
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -83,7 +83,7 @@
         if self.fresh.pop(holder, self) is not self or self.kept.pop(holder, self) is not self:
             self.ending[holder] = None
 
-    def leave(self, holder: InboundConnection) -> None:
+    def remove(self, holder: InboundConnection) -> None:
         """Remove a closed connection."""
         for queue in (self.fresh, self.kept, self.ending):
             queue.pop(holder, None)
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -43,7 +43,7 @@
     slots, kept, _, _ = filled(4, fresh=3, kept=1)
     slots.end(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0] and len(slots) == 4
-    slots.leave(kept[0])
+    slots.remove(kept[0])
     assert len(slots) == 3
 
 
