--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -384,7 +384,7 @@
         if not keep_alive:
             self._finished = True
             self._read_timer.stop()
-            self._frontend.slots.end(self)
+            self._frontend.slots.mark_ending(self)
             self._stream.finish()
         elif self._waiting:
             self._frontend.loop.call_soon(self._handle_next)
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -78,7 +78,7 @@
         if holder in self.kept:
             self.kept.move_to_end(holder, last=False)
 
-    def end(self, holder: InboundConnection) -> None:
+    def mark_ending(self, holder: InboundConnection) -> None:
         """Note that the last response on a connection is written."""
         if self.fresh.pop(holder, self) is not self or self.kept.pop(holder, self) is not self:
             self.ending[holder] = None
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -41,7 +41,7 @@
 
 def test_connection_with_last_response_is_evicted_first():
     slots, kept, _, _ = filled(4, fresh=3, kept=1)
-    slots.end(kept[0])
+    slots.mark_ending(kept[0])
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0] and len(slots) == 4
     slots.remove(kept[0])
     assert len(slots) == 3
@@ -91,7 +91,7 @@
     slots, kept, _, fresh = filled(5, fresh=3, kept=2)
     fresh[0].unread = True
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is fresh[1]
-    slots.end(fresh[2])
+    slots.mark_ending(fresh[2])
     fresh[2].unread = True
     assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0]
     kept[0].unread = True
