--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -187,7 +187,7 @@
         """Close a connection if all slots are taken; returns the reason if none can be closed."""
         if len(self.slots) < self.slots.max_connections:
             return None
-        holder = self.slots.make_room(self.loop.now, self._first_bytes_timeout)
+        holder = self.slots.choose_eviction(self.loop.now, self._first_bytes_timeout)
         if holder is None:
             return "every connection has a request in progress or unread"
         self.counters.connections_in_closed_early += 1
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -98,7 +98,7 @@
             and holder.silent()
         ]
 
-    def make_room(self, now: timedelta, first_request_grace: timedelta) -> InboundConnection | None:
+    def choose_eviction(self, now: timedelta, first_request_grace: timedelta) -> InboundConnection | None:
         """Return the connection to close for a new one if all slots are taken, None if all are busy.
 
         A connection with unread input counts as busy, and so does one that was accepted less than
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -42,25 +42,25 @@
 def test_connection_with_last_response_is_evicted_first():
     slots, kept, _, _ = filled(4, fresh=3, kept=1)
     slots.mark_ending(kept[0])
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0] and len(slots) == 4
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[0] and len(slots) == 4
     slots.remove(kept[0])
     assert len(slots) == 3
 
 
 def test_many_fresh_evict_each_other_else_least_recently_used():
     slots, _, _, fresh = filled(4, fresh=3, kept=1)
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is fresh[0]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[0]
     slots, kept, _, _ = filled(4, fresh=2, kept=2)
     slots.mark_used(kept[0])
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[1]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[1]
     slots.evict_first(kept[0])
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[0]
 
 
 def test_busy_connection_is_never_evicted():
     slots, _, _, fresh = filled(4, fresh=1, busy=3)
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is fresh[0]
-    assert filled(4, busy=4)[0].make_room(LATER, FIRST_REQUEST_GRACE) is None
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[0]
+    assert filled(4, busy=4)[0].choose_eviction(LATER, FIRST_REQUEST_GRACE) is None
 
 
 def test_only_fresh_connections_are_overdue():
@@ -90,23 +90,23 @@
     """Its request would be lost; if no other connection is left, no room is made."""
     slots, kept, _, fresh = filled(5, fresh=3, kept=2)
     fresh[0].unread = True
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is fresh[1]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[1]
     slots.mark_ending(fresh[2])
     fresh[2].unread = True
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[0]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[0]
     kept[0].unread = True
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is kept[1]
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[1]
     kept[1].unread = fresh[1].unread = True
-    assert slots.make_room(LATER, FIRST_REQUEST_GRACE) is None
+    assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is None
     assert slots.overdue(timedelta(minutes=1)) == []
 
 
 def test_new_connection_is_spared_for_first_request():
     """Guards against new connections closed without a response; kept ones are not evicted for them either."""
     slots, _, _, fresh = filled(4, fresh=3, kept=1)  # they began at 1, 2 and 3 s
-    assert slots.make_room(timedelta(seconds=1.2), FIRST_REQUEST_GRACE) is None
-    assert slots.make_room(timedelta(seconds=1.25), FIRST_REQUEST_GRACE) is fresh[0]
+    assert slots.choose_eviction(timedelta(seconds=1.2), FIRST_REQUEST_GRACE) is None
+    assert slots.choose_eviction(timedelta(seconds=1.25), FIRST_REQUEST_GRACE) is fresh[0]
     slots, kept, _, fresh = filled(4, fresh=2, kept=2)
-    assert slots.make_room(timedelta(seconds=2), FIRST_REQUEST_GRACE) is kept[0]
+    assert slots.choose_eviction(timedelta(seconds=2), FIRST_REQUEST_GRACE) is kept[0]
     slots, _, _, fresh = filled(4, fresh=2, busy=2)
-    assert slots.make_room(timedelta(seconds=2), FIRST_REQUEST_GRACE) is None
+    assert slots.choose_eviction(timedelta(seconds=2), FIRST_REQUEST_GRACE) is None
