--- a/carthinge/net/read_timeouts.py
+++ b/carthinge/net/read_timeouts.py
@@ -15,7 +15,7 @@
 READ_TIMEOUT: Final = OWED_WITHIN - MARGIN  # from the start of a request to its last byte
 MAX_PART_INTERVAL: Final = timedelta(seconds=1)  # between parts of a request that takes longer
 MAX_REQUEST_DURATION: Final = timedelta(seconds=10)  # even if its parts keep arriving
-LAST_CHANCE: Final = timedelta(milliseconds=250)  # minimum time after a late first read or accept
+MIN_READ_TIME: Final = timedelta(milliseconds=250)  # minimum time after a late first read or accept
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     def overdue_at(self) -> timedelta:
         """Return when its client counts as stopped."""
         complete_by = max(self.began + READ_TIMEOUT, self.progressed + MAX_PART_INTERVAL)
-        return max(min(complete_by, self.first_read + MAX_REQUEST_DURATION), self.first_read + LAST_CHANCE)
+        return max(min(complete_by, self.first_read + MAX_REQUEST_DURATION), self.first_read + MIN_READ_TIME)
 
 
 def silence_deadline(connected: timedelta, entered: timedelta) -> timedelta:
@@ -38,4 +38,4 @@
     It may have waited in the backlog since ``connected``, the earliest time at which it can have been made,
     until it ``entered``; its first bytes still get a minimum time to arrive.
     """
-    return max(connected + READ_TIMEOUT, entered + LAST_CHANCE)
+    return max(connected + READ_TIMEOUT, entered + MIN_READ_TIME)
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from carthinge.net.connection_slots import ConnectionSlots, ConnectionTimes
-from carthinge.net.read_timeouts import LAST_CHANCE, READ_TIMEOUT
+from carthinge.net.read_timeouts import MIN_READ_TIME, READ_TIMEOUT
 
 LATER, FIRST_REQUEST_GRACE = timedelta(minutes=1), timedelta(milliseconds=250)
 
@@ -83,7 +83,7 @@
     waited = Connection()
     slots.add(waited, ConnectionTimes(timedelta(seconds=1), timedelta(seconds=9)))
     assert slots.overdue(timedelta(seconds=9)) == []
-    assert slots.overdue(timedelta(seconds=9) + LAST_CHANCE) == [waited]
+    assert slots.overdue(timedelta(seconds=9) + MIN_READ_TIME) == [waited]
 
 
 def test_connection_with_unread_input_is_not_evicted():
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.counters import Counters
 from carthinge.net.invariants import Invariants
-from carthinge.net.read_timeouts import LAST_CHANCE
+from carthinge.net.read_timeouts import MIN_READ_TIME
 from carthinge.net.tracked_request import Attempt, Job, TrackedRequest
 from carthinge.net.worker_directory import WorkerEndpoint
 
@@ -58,7 +58,7 @@
     counters = Counters()
     invariants = Invariants(counters, lambda: True)
     invariants.half_request_ended(1, NOW, NOW, NOW + OWED_WITHIN)
-    invariants.half_request_ended(1, NOW, NOW + OWED_WITHIN, NOW + OWED_WITHIN + 2 * LAST_CHANCE)
+    invariants.half_request_ended(1, NOW, NOW + OWED_WITHIN, NOW + OWED_WITHIN + 2 * MIN_READ_TIME)
     assert counters.invariants_violated == 0
     invariants.half_request_ended(1, NOW, NOW, NOW + OWED_WITHIN + timedelta(microseconds=1))
     assert counters.invariants_violated == 1
--- a/tests/test_read_timeouts.py
+++ b/tests/test_read_timeouts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carthinge.net.read_timeouts import LAST_CHANCE, MAX_REQUEST_DURATION, PartialRequest
+from carthinge.net.read_timeouts import MAX_REQUEST_DURATION, MIN_READ_TIME, PartialRequest
 
 OWED_WITHIN = timedelta(seconds=3)  # from the standing test, not from the program
 MAX_DELAY = timedelta(milliseconds=150)  # of the scheduler
@@ -25,8 +25,8 @@
 @given(began=DURATIONS, waited=DURATIONS)
 def test_late_read_request_gets_last_chance_only(began, waited):
     partial = PartialRequest(began, began + waited, began)
-    assert partial.overdue_at() >= partial.first_read + LAST_CHANCE
-    assert partial.overdue_at() + MAX_DELAY < max(began + OWED_WITHIN, partial.first_read + 2 * LAST_CHANCE)
+    assert partial.overdue_at() >= partial.first_read + MIN_READ_TIME
+    assert partial.overdue_at() + MAX_DELAY < max(began + OWED_WITHIN, partial.first_read + 2 * MIN_READ_TIME)
 
 
 @given(began=DURATIONS, waited=DURATIONS, pauses=st.lists(st.integers(0, 900), max_size=40))
