--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -15,7 +15,7 @@
 from carthinge.net import log
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.counters import Counters
-from carthinge.net.read_timeouts import MIN_READ_TIME, OWED_WITHIN
+from carthinge.net.read_timeouts import MIN_READ_TIME, STOPPED_CLIENT_LIMIT
 from carthinge.net.tracked_request import Attempt
 
 
@@ -72,7 +72,7 @@
         ``last_activity``: when it connected or sent the last part of its request, whichever is later;
         ``accepted``: when its connection was accepted, possibly later than it connected.
         """
-        if now > max(last_activity + OWED_WITHIN, accepted + 2 * MIN_READ_TIME):
+        if now > max(last_activity + STOPPED_CLIENT_LIMIT, accepted + 2 * MIN_READ_TIME):
             elapsed = now - last_activity
             self._violated(Rule.PARTIAL_REQUEST, connection=connection, after=elapsed.total_seconds())
 
--- a/carthinge/net/read_timeouts.py
+++ b/carthinge/net/read_timeouts.py
@@ -10,9 +10,9 @@
 from datetime import timedelta
 from typing import Final
 
-OWED_WITHIN: Final = timedelta(seconds=3)  # required by the standing test: an error or a close
+STOPPED_CLIENT_LIMIT: Final = timedelta(seconds=3)  # required by the standing test: an error or a close
 MARGIN: Final = timedelta(milliseconds=500)  # for delays of the scheduler and for the response's way
-READ_TIMEOUT: Final = OWED_WITHIN - MARGIN  # from the start of a request to its last byte
+READ_TIMEOUT: Final = STOPPED_CLIENT_LIMIT - MARGIN  # from the start of a request to its last byte
 MAX_PART_INTERVAL: Final = timedelta(seconds=1)  # between parts of a request that takes longer
 MAX_REQUEST_DURATION: Final = timedelta(seconds=10)  # even if its parts keep arriving
 MIN_READ_TIME: Final = timedelta(milliseconds=250)  # minimum time after a late first read or accept
--- a/tests/test_half_sent_requests.py
+++ b/tests/test_half_sent_requests.py
@@ -8,7 +8,9 @@
 from world import SETTINGS, World, job
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-OWED_WITHIN = 3.0  # seconds, from the standing test: from the connect or from the request's first byte
+STOPPED_CLIENT_LIMIT = (
+    3.0  # seconds, from the standing test: from the connect or from the request's first byte
+)
 MAX_WAIT = 12.0  # seconds: clients without an end by then count as never ended
 WHOLE = job("half", body=b"x" * 200)
 HEAD, BODY = WHOLE[:60], WHOLE[:-100]
@@ -63,7 +65,7 @@
     return {
         client.name: client.ended_after
         for client in clients
-        if (client.ended_after or MAX_WAIT) > OWED_WITHIN
+        if (client.ended_after or MAX_WAIT) > STOPPED_CLIENT_LIMIT
     }
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -17,7 +17,7 @@
 from carthinge.net.worker_directory import WorkerEndpoint
 
 NOW = timedelta(days=1)
-OWED_WITHIN = timedelta(seconds=3)  # required by the standing test, not taken from the program
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # required by the standing test, not taken from the program
 
 
 def next_attempt(effect, *results, arrived=True, workers=None):
@@ -57,10 +57,12 @@
 def test_partial_request_limits_with_late_accept():
     counters = Counters()
     invariants = Invariants(counters, lambda: True)
-    invariants.half_request_ended(1, NOW, NOW, NOW + OWED_WITHIN)
-    invariants.half_request_ended(1, NOW, NOW + OWED_WITHIN, NOW + OWED_WITHIN + 2 * MIN_READ_TIME)
+    invariants.half_request_ended(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT)
+    invariants.half_request_ended(
+        1, NOW, NOW + STOPPED_CLIENT_LIMIT, NOW + STOPPED_CLIENT_LIMIT + 2 * MIN_READ_TIME
+    )
     assert counters.invariants_violated == 0
-    invariants.half_request_ended(1, NOW, NOW, NOW + OWED_WITHIN + timedelta(microseconds=1))
+    invariants.half_request_ended(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT + timedelta(microseconds=1))
     assert counters.invariants_violated == 1
 
 
--- a/tests/test_read_timeouts.py
+++ b/tests/test_read_timeouts.py
@@ -7,7 +7,7 @@
 
 from carthinge.net.read_timeouts import MAX_REQUEST_DURATION, MIN_READ_TIME, PartialRequest
 
-OWED_WITHIN = timedelta(seconds=3)  # from the standing test, not from the program
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the standing test, not from the program
 MAX_DELAY = timedelta(milliseconds=150)  # of the scheduler
 SECOND = timedelta(seconds=1)
 DURATIONS = st.integers(0, 20_000).map(lambda count: timedelta(milliseconds=count))
@@ -16,17 +16,19 @@
 @given(began=DURATIONS, stopped=DURATIONS)
 def test_stopped_request_is_overdue_in_time(began, stopped):
     partial = PartialRequest(began, began, began + stopped)
-    latest = max(began, partial.progressed) + OWED_WITHIN
+    latest = max(began, partial.progressed) + STOPPED_CLIENT_LIMIT
     assert partial.overdue_at() + MAX_DELAY < latest
     if stopped <= SECOND:
-        assert partial.overdue_at() + MAX_DELAY < began + OWED_WITHIN
+        assert partial.overdue_at() + MAX_DELAY < began + STOPPED_CLIENT_LIMIT
 
 
 @given(began=DURATIONS, waited=DURATIONS)
 def test_late_read_request_gets_last_chance_only(began, waited):
     partial = PartialRequest(began, began + waited, began)
     assert partial.overdue_at() >= partial.first_read + MIN_READ_TIME
-    assert partial.overdue_at() + MAX_DELAY < max(began + OWED_WITHIN, partial.first_read + 2 * MIN_READ_TIME)
+    assert partial.overdue_at() + MAX_DELAY < max(
+        began + STOPPED_CLIENT_LIMIT, partial.first_read + 2 * MIN_READ_TIME
+    )
 
 
 @given(began=DURATIONS, waited=DURATIONS, pauses=st.lists(st.integers(0, 900), max_size=40))
@@ -39,4 +41,6 @@
             break
         assert partial.overdue_at() > now
         partial.progressed = now
-    assert partial.overdue_at() <= max(partial.first_read + MAX_REQUEST_DURATION, began + OWED_WITHIN)
+    assert partial.overdue_at() <= max(
+        partial.first_read + MAX_REQUEST_DURATION, began + STOPPED_CLIENT_LIMIT
+    )
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -10,7 +10,7 @@
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
 from carthinge.net.stream import LINGER_TIMEOUT
 
-OWED_WITHIN = timedelta(seconds=3)  # from the standing test, not from the program
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the standing test, not from the program
 MANY = {**SETTINGS, "instances": 5}
 
 
@@ -60,7 +60,9 @@
         program,
         lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
     )
-    let_pass(program, OWED_WITHIN - timedelta(milliseconds=150))  # margin for delays of the scheduler
+    let_pass(
+        program, STOPPED_CLIENT_LIMIT - timedelta(milliseconds=150)
+    )  # margin for delays of the scheduler
     program.loop.turn(idle=False)
     assert reading(client, program)[0].endswith("408 Request Timeout") and client.ended()
 
