--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -300,7 +300,7 @@
         if self._current is request and not self._stream.closed:  # otherwise the client has gone meanwhile
             self._job_call = None
             if status == NO_ANSWER:
-                self.close(CloseReason.CALL_BACK_ELSEWHERE)
+                self.close(CloseReason.CALLBACK_FOR_SUCCESSOR)
             else:
                 self._answer(status, body, headers)
 
--- a/carthinge/net/close_reason.py
+++ b/carthinge/net/close_reason.py
@@ -12,7 +12,7 @@
     NO_REQUEST = "no request began in time"
     IDLE_IN_DRAIN = "idle while the program drains"
     PROGRAM_ENDS = "the program is exiting"
-    CALL_BACK_ELSEWHERE = "its callback is for the successor process"
+    CALLBACK_FOR_SUCCESSOR = "its callback is for the successor process"
     POOL_FULL = "the pool of worker connections is full"
     IDLE_TOO_LONG = "idle for longer than its worker keeps connections"
     WORKER_OUT = "its worker was excluded by an operator"
--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -30,7 +30,7 @@
 
 
 #: A worker retries a callback that got no answer.
-UNANSWERED_REASONS: Final = frozenset({CloseReason.CALL_BACK_ELSEWHERE})
+UNANSWERED_REASONS: Final = frozenset({CloseReason.CALLBACK_FOR_SUCCESSOR})
 
 
 class Invariants:
