--- a/carthinge/net/close_reason.py
+++ b/carthinge/net/close_reason.py
@@ -15,7 +15,7 @@
     CALLBACK_FOR_SUCCESSOR = "its callback is for the successor process"
     POOL_FULL = "the pool of worker connections is full"
     IDLE_TOO_LONG = "idle for longer than its worker keeps connections"
-    WORKER_OUT = "its worker was excluded by an operator"
+    WORKER_EXCLUDED = "its worker was excluded by an operator"
     WORKER_CLOSED = "its worker closed it or sent unexpected data"
     NOT_WANTED = "the attempt on it was withdrawn"
     UNUSABLE = "it cannot carry another request"
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -234,7 +234,7 @@
     def close_idle(self, address: Address) -> None:
         """Close the idle connections to a worker that may be restarted by hand: calls on them would fail."""
         for caller in [caller for caller in self._idle if caller.address == address]:
-            self._close(caller, CloseReason.WORKER_OUT)
+            self._close(caller, CloseReason.WORKER_EXCLUDED)
 
     def adopt(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Add an idle connection of the predecessor process to the pool."""
