--- a/carthinge/net/close_reason.py
+++ b/carthinge/net/close_reason.py
@@ -17,5 +17,5 @@
     IDLE_TOO_LONG = "idle for longer than its worker keeps connections"
     WORKER_EXCLUDED = "its worker was excluded by an operator"
     WORKER_CLOSED = "its worker closed it or sent unexpected data"
-    NOT_WANTED = "the attempt on it was withdrawn"
+    ATTEMPT_WITHDRAWN = "the attempt on it was withdrawn"
     UNUSABLE = "it cannot carry another request"
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -117,14 +117,14 @@
 
     def _cancel_unsent(self, attempt: Attempt, call: _AttemptCall, why: str) -> None:
         del self._calls[attempt]
-        self._close(call.caller, CloseReason.NOT_WANTED)
+        self._close(call.caller, CloseReason.ATTEMPT_WITHDRAWN)
         self.ended(attempt, Result.NOT_SENT, None, why)
 
     def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
         """Withdraw an attempt; ``gone`` is called once its worker knows or is certain to learn of it."""
         call = self._calls.pop(attempt, None)
         if call is not None:  # closing is enough before the 202, but the 202 may be on its way
-            self._close(call.caller, CloseReason.NOT_WANTED)
+            self._close(call.caller, CloseReason.ATTEMPT_WITHDRAWN)
             if not attempt.arrived:
                 self.log_withdrawn(attempt, "never sent")
                 gone()
