--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -175,7 +175,7 @@
         if self._listener is not None:
             self._listener.close()
         for connection in self.slots.all():
-            connection.close(CloseReason.PROGRAM_ENDS)
+            connection.close(CloseReason.PROGRAM_EXITING)
 
     # ---- the listener ---------------------------------------------------------------------
 
--- a/carthinge/net/close_reason.py
+++ b/carthinge/net/close_reason.py
@@ -11,7 +11,7 @@
     SLOT_NEEDED = "a new connection needs its slot"
     NO_REQUEST = "no request began in time"
     IDLE_IN_DRAIN = "idle while the program drains"
-    PROGRAM_ENDS = "the program is exiting"
+    PROGRAM_EXITING = "the program is exiting"
     CALLBACK_FOR_SUCCESSOR = "its callback is for the successor process"
     POOL_FULL = "the pool of worker connections is full"
     IDLE_TOO_LONG = "idle for longer than its worker keeps connections"
