--- a/carthinge/net/log.py
+++ b/carthinge/net/log.py
@@ -16,7 +16,7 @@
 }
 
 
-def set_up(level: str, name: str) -> None:
+def configure_logging(level: str, name: str) -> None:
     """Configure logging; called once, before the first line.  Every line has the scheduler's name."""
     structlog.configure(
         processors=[
--- a/carthinge/serving.py
+++ b/carthinge/serving.py
@@ -30,7 +30,7 @@
     config = configured(file)
     if config is None:
         return BAD_CONFIG
-    log.set_up(log_level, config.name)
+    log.configure_logging(log_level, config.name)
     try:
         Program(config, lambda before: reload(os.environ, before)).run()
     except StoreError as error:
