--- a/carthinge/net/counters.py
+++ b/carthinge/net/counters.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class ByClass:
+class OutcomeCounts:
     """How jobs ended since the start, by class name; a class that is removed keeps its counts."""
 
     served: Counter[str] = field(default_factory=Counter)
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -9,7 +9,7 @@
 
 from carthinge import interface as io
 from carthinge.net import log
-from carthinge.net.counters import ByClass, Counters
+from carthinge.net.counters import Counters, OutcomeCounts
 from carthinge.net.deadlines import give_up_at
 from carthinge.net.invariants import Invariants
 from carthinge.net.loop import MICROSECOND, Loop, Timer
@@ -41,7 +41,7 @@
         self.tracked_requests: dict[int, TrackedRequest] = {}
         self.by_id: dict[str, TrackedRequest] = {}
         self.events: list[io.Event] = []
-        self.ended = ByClass()
+        self.ended = OutcomeCounts()
         self.invariants = Invariants(counters, lambda: dispatcher.context.settings.may_hedge)
         self._loop = loop
         self._dispatcher = dispatcher
