--- a/carthinge/net/counters.py
+++ b/carthinge/net/counters.py
@@ -63,7 +63,7 @@
     refused: Counter[str] = field(default_factory=Counter)
     failed: Counter[str] = field(default_factory=Counter)
 
-    def name(self, classes: tuple[str, ...]) -> None:
+    def add_classes(self, classes: tuple[str, ...]) -> None:
         """Add classes with zero counts, so that they are reported before their first job."""
         for counts in (self.served, self.refused, self.failed):
             counts.update(dict.fromkeys(classes, 0))
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -62,7 +62,7 @@
         self.table = WorkerDirectory(config.site, self.loop.clock)
         self.dispatcher = Dispatcher(config.site.decisions, config.seed)
         self.tracker = RequestTracker(self.loop, self.dispatcher, self.table.targets, self.counters)
-        self.tracker.ended.name(config.site.classes)
+        self.tracker.ended.add_classes(config.site.classes)
         descriptors = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         available = max(16, descriptors - RESERVED_SOCKETS - (MAX_CONNECTIONS if config.operator else 0))
         outgoing = int(available * WORKER_CONNECTIONS_SHARE)
@@ -350,7 +350,7 @@
         )
         if (site.zones, site.kinds) != (before.zones, before.kinds):
             self.tracker.tell(self.table.retune(site))
-        self.tracker.ended.name(site.classes)
+        self.tracker.ended.add_classes(site.classes)
         self.frontend.retune(site)
         self.worker_client.retune(site)
         if self.fleet is not None:
