--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -56,7 +56,7 @@
     limits: Limits
     known: Listed
     site: Site
-    shape: frozenset[str]  #: the keys that are present in the settings
+    setting_keys: frozenset[str]  #: the keys that are present in the settings
     options: Options  #: from the operator's file
 
 
@@ -73,7 +73,7 @@
             if name not in ("RELAY_DISCOVERY", "CARTHINGE_FILE")
         }
     )
-    missing = sorted(before.shape - config.shape)
+    missing = sorted(before.setting_keys - config.setting_keys)
     if missing:
         raise ConfigError(f"settings: {missing[0]}: missing, though the settings in force have it")
     return config
@@ -121,7 +121,7 @@
             limits=file.limits,
             known=file.known,
             site=site,
-            shape=frozenset(shape_of(file.settings)),
+            setting_keys=frozenset(shape_of(file.settings)),
             options=options,
         )
     except FileError as fault:
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -339,7 +339,9 @@
             attempts=config.site.decisions.try_limit,
         )
         before, site = self.config.site, config.site
-        self.config = replace(self.config, discovery=config.discovery, site=site, shape=config.shape)
+        self.config = replace(
+            self.config, discovery=config.discovery, site=site, setting_keys=config.setting_keys
+        )
         self.tracker.tell(
             SettingsChange(
                 site.decisions,
