--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -13,11 +13,11 @@
 
 from carthinge.interface import Listing, WorkerList
 from carthinge.net import log
-from carthinge.net.caller import Caller
 from carthinge.net.counters import Counters
 from carthinge.net.http import Address, Answer, call_bytes
 from carthinge.net.loop import MILLISECOND, Loop, Timer
 from carthinge.net.members import Listed
+from carthinge.net.outgoing_connection import Caller
 from carthinge.net.worker_directory import WorkerDirectory
 from carthinge.settings import Site
 
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -8,10 +8,10 @@
 from typing import Final
 
 from carthinge.interface import ProbeResult, Result
-from carthinge.net.caller import Caller
 from carthinge.net.http import Answer, call_bytes
 from carthinge.net.load import read_load
 from carthinge.net.loop import MICROSECOND, Loop
+from carthinge.net.outgoing_connection import Caller
 from carthinge.net.worker_client import WorkerClient
 from carthinge.net.worker_directory import WorkerEndpoint
 
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -11,13 +11,13 @@
 
 from carthinge.interface import Result
 from carthinge.net import log
-from carthinge.net.caller import Caller
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.counters import Counters
 from carthinge.net.deadlines import deadline_header
 from carthinge.net.http import Address, Answer, call_bytes
 from carthinge.net.load import read_load
 from carthinge.net.loop import MILLISECOND, Loop
+from carthinge.net.outgoing_connection import Caller
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Attempt
 from carthinge.settings import Site
