--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -17,7 +17,7 @@
 from carthinge.net.http import Address, Answer, call_bytes
 from carthinge.net.loop import MILLISECOND, Loop, Timer
 from carthinge.net.members import Listed
-from carthinge.net.outgoing_connection import Caller
+from carthinge.net.outgoing_connection import OutgoingConnection
 from carthinge.net.worker_directory import WorkerDirectory
 from carthinge.settings import Site
 
@@ -99,7 +99,7 @@
         self._failures = 0  # in a row
         self._counters = counters
         self._on_update = tell
-        self._caller: Caller | None = None
+        self._caller: OutgoingConnection | None = None
         self._timer: Timer | None = None  # response timeout while CALLING, next call while PAUSING
         self._first_list_received: Callable[[], None] | None = None
 
@@ -159,7 +159,7 @@
         if caller is None or not caller.usable():
             if caller is not None:
                 caller.close()
-            caller = self._caller = Caller(
+            caller = self._caller = OutgoingConnection(
                 self._loop, self._address, self._connect_timeout, MAX_LIST_BYTES, STALL_TIMEOUT
             )
             caller.open()
--- a/carthinge/net/outgoing_connection.py
+++ b/carthinge/net/outgoing_connection.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
+class OutgoingConnection:
     """An outgoing connection that carries one call at a time."""
 
     loop: Loop
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -11,7 +11,7 @@
 from carthinge.net.http import Answer, call_bytes
 from carthinge.net.load import read_load
 from carthinge.net.loop import MICROSECOND, Loop
-from carthinge.net.outgoing_connection import Caller
+from carthinge.net.outgoing_connection import OutgoingConnection
 from carthinge.net.worker_client import WorkerClient
 from carthinge.net.worker_directory import WorkerEndpoint
 
@@ -48,7 +48,7 @@
     """One probe in progress."""
 
     def __init__(self, probes: Probes, target: WorkerEndpoint) -> None:
-        self.caller: Caller | None = None
+        self.caller: OutgoingConnection | None = None
         self._probes = probes
         self._target = target
         self._sent = probes.loop.now
@@ -66,7 +66,7 @@
     def broken(self, written: bool, why: str) -> None:
         self.end(Result.RESET if written else Result.CONNECT_FAILED)
 
-    def time_out(self, caller: Caller) -> None:
+    def time_out(self, caller: OutgoingConnection) -> None:
         if caller.call is self:
             caller.close()
             self.end(Result.TIMEOUT)
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -17,7 +17,7 @@
 from carthinge.net.http import Address, Answer, call_bytes
 from carthinge.net.load import read_load
 from carthinge.net.loop import MILLISECOND, Loop
-from carthinge.net.outgoing_connection import Caller
+from carthinge.net.outgoing_connection import OutgoingConnection
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Attempt
 from carthinge.settings import Site
@@ -46,8 +46,8 @@
         self._counters = counters
         self.most = max_connections
         self.lease = timedelta()  # duration of a lease, where attempts have one
-        self._open: set[Caller] = set()
-        self._idle: OrderedDict[Caller, timedelta] = OrderedDict()  # idle since, oldest first
+        self._open: set[OutgoingConnection] = set()
+        self._idle: OrderedDict[OutgoingConnection, timedelta] = OrderedDict()  # idle since, oldest first
         self._calls: dict[Attempt, _AttemptCall] = {}
         self._expiry_scheduled = False
 
@@ -200,11 +200,11 @@
 
     # ---- connections ----------------------------------------------------------------------
 
-    def connection(self, address: Address) -> Caller:
+    def connection(self, address: Address) -> OutgoingConnection:
         """Acquire a connection for a call that is not an attempt; ``free`` returns it to the pool."""
         return self._acquire(address)
 
-    def _acquire(self, address: Address) -> Caller:
+    def _acquire(self, address: Address) -> OutgoingConnection:
         """Acquire an idle connection, the most recently used first, or open a new one."""
         for caller in reversed(self._idle):
             if caller.address == address:
@@ -214,12 +214,12 @@
                 # Closed by its worker: a call on it would end in a reset, which leaves open whether it ran.
                 self._close(caller, CloseReason.WORKER_CLOSED)
                 return self._acquire(address)
-        caller = Caller(self._loop, address, self._site.connect_timeout)
+        caller = OutgoingConnection(self._loop, address, self._site.connect_timeout)
         caller.may_open = lambda: self._reserve(caller)
         caller.open()
         return caller
 
-    def _reserve(self, caller: Caller) -> bool:
+    def _reserve(self, caller: OutgoingConnection) -> bool:
         """Reserve room in the pool for a connection, closing an idle one if needed; False if it is full."""
         if caller in self._open:  # admitted before, but the connect met a local resource shortage
             return True
@@ -238,7 +238,7 @@
 
     def adopt(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Add an idle connection of the predecessor process to the pool."""
-        caller = Caller(self._loop, address, self._site.connect_timeout)
+        caller = OutgoingConnection(self._loop, address, self._site.connect_timeout)
         caller.adopt(sock)
         self._open.add(caller)
         self._add_idle(caller, idle_since)
@@ -253,24 +253,24 @@
             else:
                 caller.close()
 
-    def free(self, caller: Caller) -> None:
+    def free(self, caller: OutgoingConnection) -> None:
         """Return a connection to the pool after a call, or drop it if it is closed."""
         if caller.closed:
             self._close(caller, CloseReason.UNUSABLE)
         else:
             self._add_idle(caller, self._loop.now)
 
-    def free_later(self, caller: Caller) -> None:
+    def free_later(self, caller: OutgoingConnection) -> None:
         """Return a connection whose call was dropped to the pool, in the next turn of the loop."""
         self._loop.call_soon(lambda: self.free(caller))
 
-    def _add_idle(self, caller: Caller, since: timedelta) -> None:
+    def _add_idle(self, caller: OutgoingConnection, since: timedelta) -> None:
         self._idle[caller] = since
         if not self._expiry_scheduled:
             self._expiry_scheduled = True
             self._loop.call_after(self._max_idle(), self._close_expired)
 
-    def _close(self, caller: Caller, reason: CloseReason) -> None:
+    def _close(self, caller: OutgoingConnection, reason: CloseReason) -> None:
         log.logger().debug("worker_connection_closed", address=str(caller.address), why=reason.value)
         caller.close()
         self._idle.pop(caller, None)
@@ -294,7 +294,7 @@
 class _AttemptCall:
     """The POST of an attempt, whose end follows from the connection until the 202, then from callbacks."""
 
-    def __init__(self, worker_client: WorkerClient, caller: Caller, attempt: Attempt) -> None:
+    def __init__(self, worker_client: WorkerClient, caller: OutgoingConnection, attempt: Attempt) -> None:
         self._worker_client = worker_client
         self.caller = caller
         self._attempt = attempt
@@ -348,7 +348,7 @@
         self,
         loop: Loop,
         worker_client: WorkerClient,
-        caller: Caller,
+        caller: OutgoingConnection,
         attempt: Attempt,
         gone: Callable[[], None],
         delay: timedelta,
