--- a/carthinge/durable/attempt_leases.py
+++ b/carthinge/durable/attempt_leases.py
@@ -15,7 +15,7 @@
 from carthinge.net import log
 from carthinge.net.http import Address
 from carthinge.net.loop import MICROSECOND, Loop, Timer
-from carthinge.net.tracked_request import Attempt, Sent
+from carthinge.net.tracked_request import Attempt, RestoredAttempt
 from carthinge.net.worker_directory import WorkerEndpoint
 
 _ENTRY_DECODER: Final[msgspec.msgpack.Decoder[io.WorkerEntry]] = msgspec.msgpack.Decoder(io.WorkerEntry)
@@ -82,14 +82,14 @@
             state = AttemptState.NEVER_RAN if result in io.NEVER_RAN else AttemptState.MAY_HAVE_RUN
             writer.write(AttemptFailed(attempt.token, state), wake=False)
 
-    def convert(self, stored: StoredAttempt) -> Sent:
+    def convert(self, stored: StoredAttempt) -> RestoredAttempt:
         """Convert a stored attempt for the tracker and the decision module.
 
         An attempt that was granted but perhaps never sent cannot be told from a running one; it counts as
         running.
         """
         target = self._target_of(stored.worker, Address.parse(stored.address))
-        return Sent(
+        return RestoredAttempt(
             target,
             stored.sent * MICROSECOND,
             stored.due * MICROSECOND,
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -18,7 +18,7 @@
     Client,
     Job,
     Keeper,
-    Sent,
+    RestoredAttempt,
     Target,
     Terms,
     TrackedRequest,
@@ -74,7 +74,7 @@
         return tracked
 
     def restore(
-        self, job: Job, terms: Terms, client: Client, keeper: Keeper, attempts: Sequence[Sent]
+        self, job: Job, terms: Terms, client: Client, keeper: Keeper, attempts: Sequence[RestoredAttempt]
     ) -> TrackedRequest:
         """Track a job that was accepted before a crash, with its earlier attempts."""
         tracked = self._track(job, terms, client, keeper)
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class RestoredAttempt:
     """An attempt of a restored request, with what the dispatcher is told of it."""
 
     target: WorkerEndpoint
