--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -19,9 +19,9 @@
     Job,
     Keeper,
     RestoredAttempt,
-    Target,
     Terms,
     TrackedRequest,
+    WorkerTransport,
 )
 from carthinge.net.worker_directory import WorkerEndpoint
 from carthinge.policy import Dispatcher
@@ -35,7 +35,7 @@
     def __init__(
         self, loop: Loop, dispatcher: Dispatcher, targets: dict[int, WorkerEndpoint], counters: Counters
     ) -> None:
-        self.target: Target
+        self.target: WorkerTransport
         self.watch: Callable[[], None]
         self.probe: Callable[[WorkerEndpoint], None]
         self.tracked_requests: dict[int, TrackedRequest] = {}
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -84,7 +84,7 @@
         """Record the end of an attempt, before the client gets an answer that follows from it."""
 
 
-class Target(Protocol):
+class WorkerTransport(Protocol):
     """Sends attempts to workers and withdraws them."""
 
     def send(self, attempt: Attempt) -> None:
