--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -35,7 +35,7 @@
     def __init__(
         self, loop: Loop, dispatcher: Dispatcher, targets: dict[int, WorkerEndpoint], counters: Counters
     ) -> None:
-        self.target: WorkerTransport
+        self.transport: WorkerTransport
         self.watch: Callable[[], None]
         self.probe: Callable[[WorkerEndpoint], None]
         self.tracked_requests: dict[int, TrackedRequest] = {}
@@ -162,7 +162,7 @@
         """Report to the dispatcher that a request has ended without a decision of its own."""
         self.events.append(io.Abandoned(tracked.number))
         for attempt in list(tracked.out()):
-            self.target.client_left(attempt)
+            self.transport.client_left(attempt)
         self._forget_if_over(tracked)
 
     def cut_short(self, tracked: TrackedRequest) -> None:
@@ -333,7 +333,7 @@
             attempt=attempt.number,
             after=previous.name if previous is not None else "",
         )
-        self.target.send(attempt)
+        self.transport.send(attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
         """Withdraw an attempt; at the client's deadline, when no other can follow, end it without waiting."""
@@ -347,7 +347,7 @@
             self.end(attempt, io.Result.NOT_SENT)
         elif not attempt.leaving:
             attempt.leaving = True
-            self.target.withdraw(attempt, lambda: self.end(attempt, result))
+            self.transport.withdraw(attempt, lambda: self.end(attempt, result))
 
     def _cancel(self, action: io.Cancel) -> None:
         tracked = self.tracked_requests.get(action.request)
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -81,7 +81,7 @@
         self.watch = DiscoveryWatch(
             self.loop, config.discovery, self.table, config.site, self.counters, self._on_worker_list
         )
-        self.tracker.target = self.worker_client
+        self.tracker.transport = self.worker_client
         self.tracker.watch = self.watch.start
         probes = Probes(self.loop, self.worker_client, self.tracker.tell)
         self.tracker.probe = lambda target: probes.send(target, self.config.site.connect_timeout)
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -73,7 +73,7 @@
             for entry in listed
         }
         self.tracker = RequestTracker(VirtualLoop(self), module, self.targets, Counters())
-        self.tracker.target, self.tracker.watch = self, lambda: None
+        self.tracker.transport, self.tracker.watch = self, lambda: None
         self.tracker.tell(io.WorkerList(io.Listing.CACHED, listed))
         self.tracker.decide_all()
 
