--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -17,7 +17,7 @@
     Attempt,
     Client,
     Job,
-    Keeper,
+    Journal,
     RestoredAttempt,
     Terms,
     TrackedRequest,
@@ -66,7 +66,7 @@
         """Add an event that concerns no single request."""
         self.events.append(event)
 
-    def take(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None = None) -> TrackedRequest:
+    def take(self, job: Job, terms: Terms, client: Client, keeper: Journal | None = None) -> TrackedRequest:
         """Start to track a complete request, which gets exactly one final answer."""
         tracked = self._track(job, terms, client, keeper)
         self._counters.taken += 1
@@ -74,7 +74,7 @@
         return tracked
 
     def restore(
-        self, job: Job, terms: Terms, client: Client, keeper: Keeper, attempts: Sequence[RestoredAttempt]
+        self, job: Job, terms: Terms, client: Client, keeper: Journal, attempts: Sequence[RestoredAttempt]
     ) -> TrackedRequest:
         """Track a job that was accepted before a crash, with its earlier attempts."""
         tracked = self._track(job, terms, client, keeper)
@@ -97,7 +97,7 @@
         tracked.update_state()
         return tracked
 
-    def _track(self, job: Job, terms: Terms, client: Client, keeper: Keeper | None) -> TrackedRequest:
+    def _track(self, job: Job, terms: Terms, client: Client, keeper: Journal | None) -> TrackedRequest:
         self._count += 1
         give_up = give_up_at(self._loop.now, terms.patience)
         tracked = TrackedRequest(
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -71,7 +71,7 @@
     memory: io.AttemptMemory
 
 
-class Keeper(Protocol):
+class Journal(Protocol):
     """Records the attempts of a tracked request whose job is durable."""
 
     def grant(self, attempt: Attempt, go: Callable[[], None]) -> None:
@@ -137,7 +137,7 @@
     give_up: timedelta
     state: RequestState = RequestState.QUEUED
     attempts: list[Attempt] = field(default_factory=list)
-    keeper: Keeper | None = None
+    keeper: Journal | None = None
     effect: io.Effect = io.Effect.SAFE  #: of running the job twice
 
     @property
