--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -116,7 +116,7 @@
         attempt = tracked.out_at(event.sender) if tracked is not None else None
         if attempt is not None and (not attempt.arrived or event.token not in (0, attempt.token)):
             attempt = None
-        keeper = tracked.keeper if tracked is not None else None
+        journal = tracked.journal if tracked is not None else None
         if attempt is None:
             self._counters.job_events_stale += 1
             if jobs is not None and jobs.leaving:  # its job may be on its way to the other process
@@ -127,11 +127,11 @@
             else:
                 done(HTTPStatus.NO_CONTENT)
             return
-        if keeper is not None and event.token and event.state not in RESULT_BY_STATE:
-            keeper.renew(attempt, event.state != "heartbeat")
+        if journal is not None and event.token and event.state not in RESULT_BY_STATE:
+            journal.renew(attempt, event.state != "heartbeat")
         self._report(attempt, event)
-        if keeper is not None and jobs is not None:
-            jobs.acknowledge(cast("Held", keeper), done)
+        if journal is not None and jobs is not None:
+            jobs.acknowledge(cast("Held", journal), done)
         else:
             done(HTTPStatus.NO_CONTENT)
 
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -66,18 +66,18 @@
         """Add an event that concerns no single request."""
         self.events.append(event)
 
-    def take(self, job: Job, terms: Terms, client: Client, keeper: Journal | None = None) -> TrackedRequest:
+    def take(self, job: Job, terms: Terms, client: Client, journal: Journal | None = None) -> TrackedRequest:
         """Start to track a complete request, which gets exactly one final answer."""
-        tracked = self._track(job, terms, client, keeper)
+        tracked = self._track(job, terms, client, journal)
         self._counters.taken += 1
         self.events.append(self._arrival(tracked, terms))
         return tracked
 
     def restore(
-        self, job: Job, terms: Terms, client: Client, keeper: Journal, attempts: Sequence[RestoredAttempt]
+        self, job: Job, terms: Terms, client: Client, journal: Journal, attempts: Sequence[RestoredAttempt]
     ) -> TrackedRequest:
         """Track a job that was accepted before a crash, with its earlier attempts."""
-        tracked = self._track(job, terms, client, keeper)
+        tracked = self._track(job, terms, client, journal)
         self._counters.requests_recovered += 1
         self.events.append(io.Restore(self._arrival(tracked, terms), [sent.memory for sent in attempts]))
         for number, sent in enumerate(attempts):
@@ -97,7 +97,7 @@
         tracked.update_state()
         return tracked
 
-    def _track(self, job: Job, terms: Terms, client: Client, keeper: Journal | None) -> TrackedRequest:
+    def _track(self, job: Job, terms: Terms, client: Client, journal: Journal | None) -> TrackedRequest:
         self._count += 1
         give_up = give_up_at(self._loop.now, terms.patience)
         tracked = TrackedRequest(
@@ -107,7 +107,7 @@
             terms.tenant_name,
             client,
             give_up,
-            keeper=keeper,
+            journal=journal,
             effect=terms.effect,
         )
         self.tracked_requests[tracked.number] = self.by_id[job.id] = tracked
@@ -223,8 +223,8 @@
             attempt.timer.cancel()
         tracked = attempt.tracked
         tracked.update_state()
-        if tracked.keeper is not None:
-            tracked.keeper.attempt_ended(attempt, result)
+        if tracked.journal is not None:
+            tracked.journal.attempt_ended(attempt, result)
         name = f"attempt_{result.name.lower()}"
         setattr(self._counters, name, getattr(self._counters, name) + 1)
         if result is not io.Result.OK:
@@ -284,11 +284,11 @@
         if self._end_if_unsendable(attempt):
             return
         attempt.timer = self._loop.call_at(due, lambda: self._time_out(attempt))
-        if tracked.keeper is None:
+        if tracked.journal is None:
             self._start(attempt)
         else:
             attempt.held_back = True
-            tracked.keeper.grant(attempt, partial(self._granted, attempt))
+            tracked.journal.grant(attempt, partial(self._granted, attempt))
 
     def why_not_sent(self, attempt: Attempt) -> str | None:
         """Return why an unsent attempt must not be sent now, or None if it may be.  Checked when the
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -137,7 +137,7 @@
     give_up: timedelta
     state: RequestState = RequestState.QUEUED
     attempts: list[Attempt] = field(default_factory=list)
-    keeper: Journal | None = None
+    journal: Journal | None = None
     effect: io.Effect = io.Effect.SAFE  #: of running the job twice
 
     @property
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -174,9 +174,9 @@
 
     def lease_accepted(self, attempt: Attempt) -> None:
         """Renew the lease of an attempt: its worker supports leases and holds one from now on."""
-        keeper = attempt.tracked.keeper
-        if keeper is not None and attempt.open:
-            keeper.renew(attempt, False)
+        journal = attempt.tracked.journal
+        if journal is not None and attempt.open:
+            journal.renew(attempt, False)
 
     def calling(self, attempt: Attempt) -> bool:
         """Whether the POST of an attempt is in progress, up to its 202."""
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -188,7 +188,7 @@
         if self.operator is not None:
             self.operator.close()
         self.loop.close()
-        owed = sum(e.owed and e.keeper is None for e in self.tracker.tracked_requests.values())
+        owed = sum(e.owed and e.journal is None for e in self.tracker.tracked_requests.values())
         log.logger().info("stopped", unanswered=owed, **self.counters.as_dict())
 
     def start_serving(self, state: State | None) -> None:
@@ -381,7 +381,7 @@
         """End after QUIET_DURATION without work; requests that arrive until then are still accepted."""
         if not self.upgrade.leaving:  # otherwise they are handed over to the new process
             self.frontend.close_idle()
-        owed = any(tracked.keeper is None for tracked in self.tracker.tracked_requests.values())
+        owed = any(tracked.journal is None for tracked in self.tracker.tracked_requests.values())
         connected = len(self.frontend.slots) > 0
         front, drain = self.frontend.durable, self.frontend.draining
         if front is not None and drain is not None and self.loop.now >= drain.answered_by:
