--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -62,7 +62,7 @@
 
     # ---- events ---------------------------------------------------------------------------
 
-    def tell(self, event: io.Event) -> None:
+    def emit(self, event: io.Event) -> None:
         """Add an event that concerns no single request."""
         self.events.append(event)
 
@@ -383,7 +383,7 @@
         """Replace the timer: the dispatcher sets it anew after each wake-up."""
         if self._wake is not None:
             self._wake.cancel()
-        self._wake = self._loop.call_at(action.due * MICROSECOND, partial(self.tell, io.Timer(action.token)))
+        self._wake = self._loop.call_at(action.due * MICROSECOND, partial(self.emit, io.Timer(action.token)))
 
     def _log(self, action: io.LogLine) -> None:
         log.logger().info("decision", text=action.text)
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -78,7 +78,7 @@
 
     def set_leaving(self, leaving: bool) -> None:
         """Stop serving new clients, or serve them again."""
-        self._tracker.tell(Leave(leaving))
+        self._tracker.emit(Leave(leaving))
         if self.fleet is not None:  # the other process talks to the fleet in place of this one
             self.fleet.close(leave=False) if leaving else self.fleet.open()
         if leaving:
@@ -178,7 +178,7 @@
 
     def handle_heartbeat(self, heartbeat: Beat | None) -> None:
         """Note the load of the other process, None once it has ended."""
-        self._tracker.tell(Message(PEER, heartbeat.loads if heartbeat is not None else b""))
+        self._tracker.emit(Message(PEER, heartbeat.loads if heartbeat is not None else b""))
         if heartbeat is not None and not self._upgrade.leaving:
             self.share_descriptors(heartbeat.slots)
 
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -83,7 +83,7 @@
         )
         self.tracker.transport = self.worker_client
         self.tracker.watch = self.watch.start
-        probes = Probes(self.loop, self.worker_client, self.tracker.tell)
+        probes = Probes(self.loop, self.worker_client, self.tracker.emit)
         self.tracker.probe = lambda target: probes.send(target, self.config.site.connect_timeout)
         self.operator: Operator | None = None
         self.durable: DurableJobs | None = None
@@ -107,7 +107,7 @@
             from carthinge.scheduler.fleet_link import FleetLink
 
             self.handover_peer.fleet = FleetLink(
-                self.loop, config.options.fleet, config.name, config.site, self.dispatcher, self.tracker.tell
+                self.loop, config.options.fleet, config.name, config.site, self.dispatcher, self.tracker.emit
             )
         self.fleet = self.handover_peer.fleet
         self._quiet_since: timedelta | None = None
@@ -194,12 +194,12 @@
     def start_serving(self, state: State | None) -> None:
         """Start serving, from the state of the previous process if there is one."""
         if state is None:
-            self.tracker.tell(self.table.apply_list(self.config.known, Listing.CACHED))
+            self.tracker.emit(self.table.apply_list(self.config.known, Listing.CACHED))
         else:
             self.config = replace(self.config, discovery=Address.parse(state.discovery))
             self.watch.set_address(self.config.discovery)
             site = self.config.site
-            self.tracker.tell(
+            self.tracker.emit(
                 Inherit(
                     state.memory,
                     positions(site.classes, state.classes),
@@ -207,7 +207,7 @@
                     positions(site.kinds, state.kinds),
                 )
             )
-            self.tracker.tell(self.table.restore(state))
+            self.tracker.emit(self.table.restore(state))
             self.handover_peer.share_descriptors(0)
         if self.durable is not None:
             self.durable.open()
@@ -224,7 +224,7 @@
 
     def _on_worker_list(self, event: WorkerList) -> None:
         """Report the worker list to the dispatcher before the attempts that it stops."""
-        self.tracker.tell(event)
+        self.tracker.emit(event)
         self.worker_client.stop_unsent()
 
     def _listen(self, taken_over: bool) -> None:
@@ -293,7 +293,7 @@
         known = confirmed or worker in self.table.listed or number in self.dispatcher.fleet.out
         if known:
             log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
-            self.tracker.tell(OperatorExclusion(number, excluded))
+            self.tracker.emit(OperatorExclusion(number, excluded))
             if number in self.table.targets:
                 self.worker_client.close_idle(self.table.targets[number].address)
         return known
@@ -342,7 +342,7 @@
         self.config = replace(
             self.config, discovery=config.discovery, site=site, setting_keys=config.setting_keys
         )
-        self.tracker.tell(
+        self.tracker.emit(
             SettingsChange(
                 site.decisions,
                 positions(site.classes, before.classes),
@@ -351,7 +351,7 @@
             )
         )
         if (site.zones, site.kinds) != (before.zones, before.kinds):
-            self.tracker.tell(self.table.retune(site))
+            self.tracker.emit(self.table.retune(site))
         self.tracker.ended.add_classes(site.classes)
         self.frontend.retune(site)
         self.worker_client.retune(site)
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -74,7 +74,7 @@
         }
         self.tracker = RequestTracker(VirtualLoop(self), module, self.targets, Counters())
         self.tracker.transport, self.tracker.watch = self, lambda: None
-        self.tracker.tell(io.WorkerList(io.Listing.CACHED, listed))
+        self.tracker.emit(io.WorkerList(io.Listing.CACHED, listed))
         self.tracker.decide_all()
 
     def accept(self, client, work, timeout, arrival):
