--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -138,7 +138,7 @@
     def _report(self, attempt: Attempt, event: JobEvent) -> None:
         result = RESULT_BY_STATE.get(event.state)
         if result is None:
-            self._tracker.note(
+            self._tracker.report_progress(
                 attempt, event.share if event.state == "running" else None, begun=event.state != "heartbeat"
             )
             return
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -199,7 +199,7 @@
         """Return the number of unanswered requests."""
         return sum(tracked.owed for tracked in self.tracked_requests.values())
 
-    def note(self, attempt: Attempt, done: float | None, begun: bool = True) -> None:
+    def report_progress(self, attempt: Attempt, done: float | None, begun: bool = True) -> None:
         """Report progress of an open attempt, at the least that its worker has received it."""
         if attempt.open:
             self.events.append(
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -122,7 +122,7 @@
         """Does nothing: a model worker has an attempt as soon as it is sent."""
 
     def report_progress(self, sent, done):
-        self.tracker.note(sent.attempt, done)
+        self.tracker.report_progress(sent.attempt, done)
         self.tracker.decide_all()
 
     def report_result(self, sent, result, report):
