--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -189,7 +189,7 @@
         if attempt.open:
             self._withdraw(attempt, io.Result.TIMEOUT)
 
-    def arrived(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         """Note that the last byte of an attempt has been written."""
         if not attempt.arrived:
             attempt.arrived = True
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -168,9 +168,9 @@
         """Report to the tracker that a worker rejected the request as unusable."""
         self._tracker.reject(attempt, why)
 
-    def arrived(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         """Report to the tracker that the last byte of an attempt is written."""
-        self._tracker.arrived(attempt)
+        self._tracker.attempt_written(attempt)
 
     def lease_accepted(self, attempt: Attempt) -> None:
         """Renew the lease of an attempt: its worker supports leases and holds one from now on."""
@@ -306,7 +306,7 @@
         return data
 
     def written(self) -> None:
-        self._worker_client.arrived(self._attempt)
+        self._worker_client.attempt_written(self._attempt)
 
     def answered(self, answer: Answer) -> None:
         self._worker_client.call_ended(self._attempt)
