--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -92,4 +92,4 @@
 def _may_have_run(attempt: Attempt) -> bool:
     """False where the result is unknown, as from a predecessor: the dispatcher's decision is trusted then."""
     result = attempt.result
-    return not attempt.open and attempt.arrived and result is not None and result not in io.NEVER_RAN
+    return not attempt.open and attempt.written and result is not None and result not in io.NEVER_RAN
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -88,7 +88,7 @@
                 sent.sent,
                 sent.due,
                 open=sent.memory.open,
-                arrived=True,
+                written=True,
                 token=sent.token,
             )
             tracked.attempts.append(attempt)
@@ -191,8 +191,8 @@
 
     def attempt_written(self, attempt: Attempt) -> None:
         """Note that the last byte of an attempt has been written."""
-        if not attempt.arrived:
-            attempt.arrived = True
+        if not attempt.written:
+            attempt.written = True
             self._counters.attempts_written += 1
 
     def in_flight(self) -> int:
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -125,7 +125,7 @@
         call = self._calls.pop(attempt, None)
         if call is not None:  # closing is enough before the 202, but the 202 may be on its way
             self._close(call.caller, CloseReason.ATTEMPT_WITHDRAWN)
-            if not attempt.arrived:
+            if not attempt.written:
                 self.log_withdrawn(attempt, "never sent")
                 gone()
                 return
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -161,7 +161,7 @@
                     sent.sent_us * MICROSECOND,
                     sent.due_us * MICROSECOND,
                     open=sent.open,
-                    arrived=True,
+                    written=True,
                     result=None if sent.result is None else Result(sent.result),
                 )
             )
@@ -204,7 +204,7 @@
             if not (tracked.owed and isinstance(client, ClientConnection) and client.awaits_answer()):
                 continue
             if all(
-                attempt.arrived and not (attempt.leaving or self._worker_client.calling(attempt))
+                attempt.written and not (attempt.leaving or self._worker_client.calling(attempt))
                 for attempt in tracked.out()
             ):
                 self._hand_over(tracked, client)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -20,31 +20,31 @@
 STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # required by the standing test, not taken from the program
 
 
-def next_attempt(effect, *results, arrived=True, workers=None):
+def next_attempt(effect, *results, written=True, workers=None):
     """Return an unsent attempt of a request whose earlier attempts have these results (None: open)."""
     tracked = TrackedRequest(1, Job("a1", b"/api", b""), "c", "t", None, NOW, effect=effect)
     for number, result in enumerate([*results, None]):
         worker_number = (workers or range(9))[number]
         target = WorkerEndpoint(f"s-{worker_number}", worker_number, None)
         tracked.attempts.append(
-            Attempt(tracked, number, target, NOW, NOW, open=result is None, arrived=arrived, result=result)
+            Attempt(tracked, number, target, NOW, NOW, open=result is None, written=written, result=result)
         )
     return tracked.attempts[-1]
 
 
 @pytest.mark.parametrize("effect", io.Effect)
 @pytest.mark.parametrize("may_hedge", [False, True])
-@pytest.mark.parametrize("arrived", [False, True])
+@pytest.mark.parametrize("written", [False, True])
 @pytest.mark.parametrize("result", [None, *io.Result])
-def test_may_send_depends_on_previous_attempt(effect, may_hedge, arrived, result):
+def test_may_send_depends_on_previous_attempt(effect, may_hedge, written, result):
     counters = Counters()
     permitted = Invariants(counters, lambda: may_hedge).may_send(
-        next_attempt(effect, result, arrived=arrived)
+        next_attempt(effect, result, written=written)
     )
     if result is None:
         expected = may_hedge and effect is not io.Effect.UNSAFE
     else:
-        expected = effect is not io.Effect.UNSAFE or not arrived or result in io.NEVER_RAN
+        expected = effect is not io.Effect.UNSAFE or not written or result in io.NEVER_RAN
     assert permitted is expected and counters.invariants_violated == (not expected)
 
 
