--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -345,8 +345,8 @@
         """Withdraw an attempt and end it once the worker knows: the dispatcher may then send the next one."""
         if attempt.held_back:
             self.end(attempt, io.Result.NOT_SENT)
-        elif not attempt.leaving:
-            attempt.leaving = True
+        elif not attempt.withdrawing:
+            attempt.withdrawing = True
             self.transport.withdraw(attempt, lambda: self.end(attempt, result))
 
     def _cancel(self, action: io.Cancel) -> None:
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -108,7 +108,7 @@
     due: timedelta
     start_by: timedelta | None = None  # not sent later: a retry is safe only until then
     open: bool = True
-    leaving: bool = False  # being withdrawn: its worker may not know yet
+    withdrawing: bool = False  # being withdrawn: its worker may not know yet
     written: bool = False  # its last byte is written: reports of the worker may refer to it
     held_back: bool = False  # until its grant is on disk; nothing of it is sent before
     token: int = 0  # of its lease; 0 if it has none
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -204,7 +204,7 @@
             if not (tracked.owed and isinstance(client, ClientConnection) and client.awaits_answer()):
                 continue
             if all(
-                attempt.written and not (attempt.leaving or self._worker_client.calling(attempt))
+                attempt.written and not (attempt.withdrawing or self._worker_client.calling(attempt))
                 for attempt in tracked.out()
             ):
                 self._hand_over(tracked, client)
