--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -136,7 +136,7 @@
     def is_sending(self, busy: Callable[[Attempt], bool]) -> bool:
         """Whether an attempt is being sent to a worker, or is about to be."""
         return any(
-            (attempt.held_back and attempt.token) or busy(attempt)
+            (attempt.awaiting_grant and attempt.token) or busy(attempt)
             for durable_job in self.register.by_number.values()
             if durable_job.tracked is not None
             for attempt in durable_job.tracked.out()
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -287,7 +287,7 @@
         if tracked.journal is None:
             self._start(attempt)
         else:
-            attempt.held_back = True
+            attempt.awaiting_grant = True
             tracked.journal.grant(attempt, partial(self._granted, attempt))
 
     def why_not_sent(self, attempt: Attempt) -> str | None:
@@ -318,7 +318,7 @@
     def _granted(self, attempt: Attempt) -> None:
         """Send an attempt whose grant is on disk, unless it has ended before that."""
         if attempt.open:
-            attempt.held_back = False
+            attempt.awaiting_grant = False
             if not self._end_if_unsendable(attempt):
                 self._start(attempt)
 
@@ -343,7 +343,7 @@
 
     def _withdraw(self, attempt: Attempt, result: io.Result) -> None:
         """Withdraw an attempt and end it once the worker knows: the dispatcher may then send the next one."""
-        if attempt.held_back:
+        if attempt.awaiting_grant:
             self.end(attempt, io.Result.NOT_SENT)
         elif not attempt.withdrawing:
             attempt.withdrawing = True
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -110,7 +110,7 @@
     open: bool = True
     withdrawing: bool = False  # being withdrawn: its worker may not know yet
     written: bool = False  # its last byte is written: reports of the worker may refer to it
-    held_back: bool = False  # until its grant is on disk; nothing of it is sent before
+    awaiting_grant: bool = False  # until its grant is on disk; nothing of it is sent before
     token: int = 0  # of its lease; 0 if it has none
     timer: Timer | None = None
     result: io.Result | None = None  # None while it is open, and where its result is unknown
