--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -129,7 +129,7 @@
 
     def give_away(self, tracked: TrackedRequest) -> None:
         """Stop tracking a request that another process took over, with its client and its open attempt."""
-        if tracked.owed:
+        if tracked.pending:
             tracked.client_gone("given_away")
         self._counters.requests_given_away += 1
         for attempt in tracked.attempts:
@@ -153,7 +153,7 @@
 
     def abandon(self, tracked: TrackedRequest) -> None:
         """Abandon a request whose client has left."""
-        if tracked.owed:
+        if tracked.pending:
             tracked.client_gone("client_left")
             self._counters.client_gone += 1
             self._report_abandoned(tracked)
@@ -167,7 +167,7 @@
 
     def cut_short(self, tracked: TrackedRequest) -> None:
         """Answer a request now, since the answer to a request pipelined behind it is due."""
-        if not tracked.owed:
+        if not tracked.pending:
             return
         if tracked.attempts:
             self._count_failed(tracked, CUT_SHORT_REASON)
@@ -179,7 +179,7 @@
 
     def serve_late(self, tracked: TrackedRequest, result: bytes) -> None:
         """Serve the result of an attempt that had already ended, when no other attempt is open."""
-        if tracked.owed:
+        if tracked.pending:
             self._serve(tracked, result)
             self.events.append(io.Abandoned(tracked.number))
             self._forget_if_over(tracked)
@@ -197,7 +197,7 @@
 
     def in_flight(self) -> int:
         """Return the number of unanswered requests."""
-        return sum(tracked.owed for tracked in self.tracked_requests.values())
+        return sum(tracked.pending for tracked in self.tracked_requests.values())
 
     def report_progress(self, attempt: Attempt, done: float | None, begun: bool = True) -> None:
         """Report progress of an open attempt, at the least that its worker has received it."""
@@ -231,7 +231,7 @@
             log.logger().debug(
                 "attempt_ended", id=tracked.job.id, worker=attempt.target.id, result=result.name, why=why
             )
-        elif tracked.owed:
+        elif tracked.pending:
             self._serve(tracked, answer)
         latency = max(timedelta(), self._loop.now - attempt.sent)
         self.events.append(
@@ -241,7 +241,7 @@
                 attempt.target.number,
                 result,
                 latency // MICROSECOND,
-                not tracked.owed,
+                not tracked.pending,
                 load_report,
             )
         )
@@ -256,7 +256,7 @@
     def reject(self, attempt: Attempt, why: str) -> None:
         """Fail a request rejected as unusable: other workers would reject it too, and all would be blamed."""
         tracked = attempt.tracked
-        if attempt.open and tracked.owed:
+        if attempt.open and tracked.pending:
             self._count_failed(tracked, "the request was rejected as unusable")
             tracked.client.reject()
         self.end(attempt, io.Result.NOT_SENT, why=why)
@@ -296,9 +296,9 @@
         tracked, now = attempt.tracked, self._loop.clock.now()
         if not attempt.open:
             return "the attempt has ended"
-        if tracked.owed and tracked.client.has_left():
+        if tracked.pending and tracked.client.has_left():
             self.abandon(tracked)
-        if not tracked.owed:
+        if not tracked.pending:
             return "the client has left"
         if now >= attempt.due:
             return "the attempt has timed out"
@@ -357,14 +357,14 @@
 
     def _shed(self, action: io.Refuse) -> None:
         tracked = self.tracked_requests.get(action.request)
-        if tracked is not None and tracked.owed:
+        if tracked is not None and tracked.pending:
             self._count_refused(tracked, action.why.value)
             tracked.client.shed(action.retry_after * MICROSECOND)
             self._forget_if_over(tracked)
 
     def _fail(self, action: io.Fail) -> None:
         tracked = self.tracked_requests.get(action.request)
-        if tracked is not None and tracked.owed:
+        if tracked is not None and tracked.pending:
             self._count_failed(tracked, action.why.value)
             tracked.client.fail(timed_out=self._loop.now >= tracked.give_up)
             self._forget_if_over(tracked)
@@ -389,7 +389,7 @@
         log.logger().info("decision", text=action.text)
 
     def _forget_if_over(self, tracked: TrackedRequest) -> None:
-        if not tracked.owed and tracked.current() is None:
+        if not tracked.pending and tracked.current() is None:
             self.tracked_requests.pop(tracked.number, None)
             if self.by_id.get(tracked.job.id) is tracked:
                 del self.by_id[tracked.job.id]
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -141,24 +141,24 @@
     effect: io.Effect = io.Effect.SAFE  #: of running the job twice
 
     @property
-    def owed(self) -> bool:
+    def pending(self) -> bool:
         """Whether its client still has to get a final answer."""
         return self.state in (RequestState.QUEUED, RequestState.SENT)
 
     def update_state(self) -> None:
         """Update the state; to be called when an attempt has been added or has ended."""
-        if self.owed:
+        if self.pending:
             self.state = RequestState.QUEUED if self.current() is None else RequestState.SENT
 
     def answered(self, how: str, why: str = "") -> None:
         """Mark the request as answered; the log shows ``how`` it ended, and why if it was not served."""
-        assert self.owed, "a request gets one final answer"
+        assert self.pending, "a request gets one final answer"
         self.state = RequestState.ANSWERED
         self._log_end(how, why)
 
     def client_gone(self, how: str) -> None:
         """Mark the request as one whose client no longer waits for an answer in this process."""
-        assert self.owed, "the request has been answered already"
+        assert self.pending, "the request has been answered already"
         self.state = RequestState.CLIENT_GONE
         self._log_end(how, "")
 
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -201,7 +201,7 @@
                 self._upgrade.hand_over_waiting(sock, waiting)
         for tracked in list(self._tracker.tracked_requests.values()):
             client = tracked.client
-            if not (tracked.owed and isinstance(client, ClientConnection) and client.awaits_answer()):
+            if not (tracked.pending and isinstance(client, ClientConnection) and client.awaits_answer()):
                 continue
             if all(
                 attempt.written and not (attempt.withdrawing or self._worker_client.calling(attempt))
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -188,7 +188,7 @@
         if self.operator is not None:
             self.operator.close()
         self.loop.close()
-        owed = sum(e.owed and e.journal is None for e in self.tracker.tracked_requests.values())
+        owed = sum(e.pending and e.journal is None for e in self.tracker.tracked_requests.values())
         log.logger().info("stopped", unanswered=owed, **self.counters.as_dict())
 
     def start_serving(self, state: State | None) -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -144,7 +144,7 @@
     for _ in range(5):
         program.loop.turn(idle=False)
         program.tracker.decide()
-    assert tracked.owed and program.loop._timers[0][0] >= due
+    assert tracked.pending and program.loop._timers[0][0] >= due
     again = dial(program).send(job("b1", deadline="5000m"))
     turns(program, lambda: "b1" in program.tracker.by_id)
     left = program.tracker.by_id["b1"].give_up - program.loop.clock.now()
