--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -248,7 +248,7 @@
         self._forget_if_over(tracked)
 
     def _serve(self, tracked: TrackedRequest, result: bytes) -> None:
-        tracked.answered("served")
+        tracked.mark_answered("served")
         self._counters.served += 1
         self.ended.served[tracked.class_name] += 1
         tracked.client.serve(result)
@@ -370,12 +370,12 @@
             self._forget_if_over(tracked)
 
     def _count_refused(self, tracked: TrackedRequest, why: str) -> None:
-        tracked.answered("refused", why)
+        tracked.mark_answered("refused", why)
         self._counters.shed += 1
         self.ended.refused[tracked.class_name] += 1
 
     def _count_failed(self, tracked: TrackedRequest, why: str) -> None:
-        tracked.answered("failed", why)
+        tracked.mark_answered("failed", why)
         self._counters.failed += 1
         self.ended.failed[tracked.class_name] += 1
 
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -150,7 +150,7 @@
         if self.pending:
             self.state = RequestState.QUEUED if self.current() is None else RequestState.SENT
 
-    def answered(self, how: str, why: str = "") -> None:
+    def mark_answered(self, how: str, why: str = "") -> None:
         """Mark the request as answered; the log shows ``how`` it ended, and why if it was not served."""
         assert self.pending, "a request gets one final answer"
         self.state = RequestState.ANSWERED
