--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -130,7 +130,7 @@
     def give_away(self, tracked: TrackedRequest) -> None:
         """Stop tracking a request that another process took over, with its client and its open attempt."""
         if tracked.pending:
-            tracked.client_gone("given_away")
+            tracked.mark_client_gone("given_away")
         self._counters.requests_given_away += 1
         for attempt in tracked.attempts:
             attempt.open = False
@@ -154,7 +154,7 @@
     def abandon(self, tracked: TrackedRequest) -> None:
         """Abandon a request whose client has left."""
         if tracked.pending:
-            tracked.client_gone("client_left")
+            tracked.mark_client_gone("client_left")
             self._counters.client_gone += 1
             self._report_abandoned(tracked)
 
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -156,7 +156,7 @@
         self.state = RequestState.ANSWERED
         self._log_end(how, why)
 
-    def client_gone(self, how: str) -> None:
+    def mark_client_gone(self, how: str) -> None:
         """Mark the request as one whose client no longer waits for an answer in this process."""
         assert self.pending, "the request has been answered already"
         self.state = RequestState.CLIENT_GONE
