--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -113,7 +113,7 @@
             return
         self._counters.job_events += 1
         # By sender: a callback of a hedged attempt must not be matched with the first attempt and dropped.
-        attempt = tracked.out_at(event.sender) if tracked is not None else None
+        attempt = tracked.open_attempt_at(event.sender) if tracked is not None else None
         if attempt is not None and (not attempt.written or event.token not in (0, attempt.token)):
             attempt = None
         journal = tracked.journal if tracked is not None else None
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -173,6 +173,6 @@
         """Iterate over the open attempts."""
         return (attempt for attempt in self.attempts if attempt.open)
 
-    def out_at(self, worker: str) -> Attempt | None:
+    def open_attempt_at(self, worker: str) -> Attempt | None:
         """Return the open attempt at a worker: a worker never has two of one job."""
         return next((attempt for attempt in self.out() if attempt.target.id == worker), None)
