--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -139,7 +139,7 @@
             (attempt.awaiting_grant and attempt.token) or busy(attempt)
             for durable_job in self.register.by_number.values()
             if durable_job.tracked is not None
-            for attempt in durable_job.tracked.out()
+            for attempt in durable_job.tracked.open_attempts()
         )
 
     def known(self, req_id: str) -> bool:
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -161,7 +161,7 @@
     def _report_abandoned(self, tracked: TrackedRequest) -> None:
         """Report to the dispatcher that a request has ended without a decision of its own."""
         self.events.append(io.Abandoned(tracked.number))
-        for attempt in list(tracked.out()):
+        for attempt in list(tracked.open_attempts()):
             self.transport.client_left(attempt)
         self._forget_if_over(tracked)
 
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -167,12 +167,12 @@
 
     def current(self) -> Attempt | None:
         """Return the first open attempt; with hedging it need not be the only one."""
-        return next(self.out(), None)
+        return next(self.open_attempts(), None)
 
-    def out(self) -> Iterator[Attempt]:
+    def open_attempts(self) -> Iterator[Attempt]:
         """Iterate over the open attempts."""
         return (attempt for attempt in self.attempts if attempt.open)
 
     def open_attempt_at(self, worker: str) -> Attempt | None:
         """Return the open attempt at a worker: a worker never has two of one job."""
-        return next((attempt for attempt in self.out() if attempt.target.id == worker), None)
+        return next((attempt for attempt in self.open_attempts() if attempt.target.id == worker), None)
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -205,7 +205,7 @@
                 continue
             if all(
                 attempt.written and not (attempt.withdrawing or self._worker_client.calling(attempt))
-                for attempt in tracked.out()
+                for attempt in tracked.open_attempts()
             ):
                 self._hand_over(tracked, client)
         for sock, address, idle_since in self._worker_client.release_idle():
