--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -119,7 +119,7 @@
 
     def has_open_attempt(self) -> bool:
         """Whether an attempt of the job is open."""
-        return self.tracked is not None and self.tracked.current() is not None
+        return self.tracked is not None and self.tracked.first_open_attempt() is not None
 
     def add(self, waiter: Waiter) -> None:
         """Add a waiter, which is notified of the job's end."""
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -389,7 +389,7 @@
         log.logger().info("decision", text=action.text)
 
     def _forget_if_over(self, tracked: TrackedRequest) -> None:
-        if not tracked.pending and tracked.current() is None:
+        if not tracked.pending and tracked.first_open_attempt() is None:
             self.tracked_requests.pop(tracked.number, None)
             if self.by_id.get(tracked.job.id) is tracked:
                 del self.by_id[tracked.job.id]
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -148,7 +148,7 @@
     def update_state(self) -> None:
         """Update the state; to be called when an attempt has been added or has ended."""
         if self.pending:
-            self.state = RequestState.QUEUED if self.current() is None else RequestState.SENT
+            self.state = RequestState.QUEUED if self.first_open_attempt() is None else RequestState.SENT
 
     def mark_answered(self, how: str, why: str = "") -> None:
         """Mark the request as answered; the log shows ``how`` it ended, and why if it was not served."""
@@ -165,7 +165,7 @@
     def _log_end(self, how: str, why: str) -> None:
         log.logger().debug("request_ended", id=self.job.id, state=how, attempts=len(self.attempts), why=why)
 
-    def current(self) -> Attempt | None:
+    def first_open_attempt(self) -> Attempt | None:
         """Return the first open attempt; with hedging it need not be the only one."""
         return next(self.open_attempts(), None)
 
