--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -96,13 +96,13 @@
             job.headers,
             records.Terms(terms.key, hint, terms.slots, terms.memory),
             arrived // MICROSECOND,
-            (arrived + terms.patience) // MICROSECOND,
+            (arrived + terms.timeout) // MICROSECOND,
         )
         durable_job = Held(self._jobs, accepted)
         durable_job.add(waiter)
         self._register.add(durable_job)
         now = self._loop.now
-        timeout_at = now + min(ACCEPT_TIMEOUT, MAX_ACCEPT_TIME_SHARE * (arrived + terms.patience - now))
+        timeout_at = now + min(ACCEPT_TIMEOUT, MAX_ACCEPT_TIME_SHARE * (arrived + terms.timeout - now))
         heappush(self._unwritten, (timeout_at, accepted.number, durable_job))
         if self._unwritten_timer is None or self._unwritten[0][2] is durable_job:
             if self._unwritten_timer is not None:
--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -318,13 +318,13 @@
             retry_after = stay_away(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
             self._shed(retry_after, keep_alive=False)
             return
-        terms = replace(terms, patience=frontend.remaining_time(terms.patience, request.received_at))
+        terms = replace(terms, timeout=frontend.remaining_time(terms.timeout, request.received_at))
         log.logger().debug(
             "request_taken",
             id=job.id,
             connection=self.number,
             job_class=terms.class_name,
-            left_ms=terms.patience // MILLISECOND,
+            left_ms=terms.timeout // MILLISECOND,
         )
         self.wait_for_result(frontend.tracker.take(job, terms, self))
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -100,11 +100,11 @@
             job, terms = translator.read(request)
             if known(job.id) or self.jobs.known(job.id):
                 raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: in use by another request")
-            remaining = remaining_time(terms.patience)
-            if remaining != terms.patience:
-                terms = replace(terms, patience=remaining)
+            remaining = remaining_time(terms.timeout)
+            if remaining != terms.timeout:
+                terms = replace(terms, timeout=remaining)
             mode = Mode.ASYNC if preference.respond_async else Mode.IN_PLACE
-            wait = preference.wait if preference.respond_async else terms.patience - TIMEOUT_MARGIN
+            wait = preference.wait if preference.respond_async else terms.timeout - TIMEOUT_MARGIN
             call = JobCall(self, connection, request, mode, wait)
             self.jobs.take(job, terms, request.headers.get(b"idempotency-key") or None, call)
             return call
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -99,7 +99,7 @@
 
     def _track(self, job: Job, terms: Terms, client: Client, journal: Journal | None) -> TrackedRequest:
         self._count += 1
-        give_up = give_up_at(self._loop.now, terms.patience)
+        give_up = give_up_at(self._loop.now, terms.timeout)
         tracked = TrackedRequest(
             self._count,
             job,
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -32,7 +32,7 @@
     class_name: str
     tenant: int
     tenant_name: str
-    patience: timedelta  #: how long its client waits, from now
+    timeout: timedelta  #: how long its client waits, from now
     key: int = 0
     hint: timedelta | None = None
     slots: float = 1.0
