--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -10,7 +10,7 @@
 from carthinge.model.agenda import MICROSECOND, VirtualClock, micros
 from carthinge.model.tally import Tally
 from carthinge.model.workers import UNRESPONSIVE, ModelWorker
-from carthinge.net.deadlines import give_up_at
+from carthinge.net.deadlines import answer_deadline
 
 NO_RESPONSE: Final = frozenset(
     {io.Result.CONNECT_FAILED, io.Result.RESET, io.Result.TIMEOUT, io.Result.CANCELLED}
@@ -139,7 +139,7 @@
         """Accept a request and set its number and the deadline of its answer."""
         self._last_number += 1
         now = self._clock.now
-        give_up = micros(give_up_at(now * MICROSECOND, timeout * MICROSECOND))
+        give_up = micros(answer_deadline(now * MICROSECOND, timeout * MICROSECOND))
         tracked = TrackedRequest(self._last_number, client, arrival.job_class, work, give_up, arrival.key)
         self.tracked_requests[tracked.number] = tracked
         arrival.request, arrival.give_up = tracked.number, give_up
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -58,7 +58,7 @@
     return min(left, drain.answered_by - now)
 
 
-def give_up_at(now: timedelta, timeout: timedelta) -> timedelta:
+def answer_deadline(now: timedelta, timeout: timedelta) -> timedelta:
     """Return the latest time to send the final answer so that it arrives before the client leaves."""
     return now + timeout - min(ANSWER_MARGIN, ANSWER_SHARE * timeout)
 
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -10,7 +10,7 @@
 from carthinge import interface as io
 from carthinge.net import log
 from carthinge.net.counters import Counters, OutcomeCounts
-from carthinge.net.deadlines import give_up_at
+from carthinge.net.deadlines import answer_deadline
 from carthinge.net.invariants import Invariants
 from carthinge.net.loop import MICROSECOND, Loop, Timer
 from carthinge.net.tracked_request import (
@@ -99,7 +99,7 @@
 
     def _track(self, job: Job, terms: Terms, client: Client, journal: Journal | None) -> TrackedRequest:
         self._count += 1
-        give_up = give_up_at(self._loop.now, terms.timeout)
+        give_up = answer_deadline(self._loop.now, terms.timeout)
         tracked = TrackedRequest(
             self._count,
             job,
