--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -15,7 +15,7 @@
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.connection_slots import ConnectionSlots, ConnectionTimes, InboundConnection
 from carthinge.net.counters import Counters
-from carthinge.net.deadlines import Drain, patience_left
+from carthinge.net.deadlines import Drain, remaining_timeout
 from carthinge.net.listener import Listener
 from carthinge.net.loop import MICROSECOND, Loop
 from carthinge.net.request_tracker import RequestTracker
@@ -79,7 +79,7 @@
 
     def remaining_time(self, timeout: timedelta, arrived: timedelta) -> timedelta:
         """Return what is left of the timeout of a request, which runs from its arrival, even while unread."""
-        return patience_left(timeout, arrived, self.loop.now, self.draining)
+        return remaining_timeout(timeout, arrived, self.loop.now, self.draining)
 
     def pause_accepting(self) -> None:
         """Stop accepting; connections wait for another process that listens on the same socket."""
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -47,7 +47,9 @@
     return Drain(arriving_until, last_answer, kept_until)
 
 
-def patience_left(timeout: timedelta, received: timedelta, now: timedelta, drain: Drain | None) -> timedelta:
+def remaining_timeout(
+    timeout: timedelta, received: timedelta, now: timedelta, drain: Drain | None
+) -> timedelta:
     """Return the time left of a client's timeout; the request's last byte arrived at ``received`` or later.
 
     In a drain it ends with the last answers: SIGKILL would leave requests that arrive late unanswered.
