--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -15,7 +15,7 @@
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.connection_slots import ConnectionSlots, ConnectionTimes, InboundConnection
 from carthinge.net.counters import Counters
-from carthinge.net.deadlines import Drain, remaining_timeout
+from carthinge.net.deadlines import DrainSchedule, remaining_timeout
 from carthinge.net.listener import Listener
 from carthinge.net.loop import MICROSECOND, Loop
 from carthinge.net.request_tracker import RequestTracker
@@ -50,7 +50,7 @@
         self.max_retry_after = site.max_retry_after
         self._first_bytes_timeout = site.connect_timeout  # the same for a client's first bytes
         self._ready = ready
-        self.draining: Drain | None = None
+        self.draining: DrainSchedule | None = None
         self.callbacks = Callbacks(tracker, worker_client, counters, other_process)
         self.durable: DurableFront | None = None
         self.slots = ConnectionSlots(max_connections)
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class DrainSchedule:
     """Points in time of a drain, once the program was told to stop."""
 
     arriving_until: timedelta  #: clients may still be routed here; their requests keep their full timeout
@@ -33,7 +33,9 @@
     kept_until: timedelta  #: afterwards every answer closes its connection, so that clients move elsewhere
 
 
-def drain_schedule(signalled: timedelta, max_deadline: timedelta, alone: bool, leaving: bool) -> Drain:
+def drain_schedule(
+    signalled: timedelta, max_deadline: timedelta, alone: bool, leaving: bool
+) -> DrainSchedule:
     """Compute the drain of a program that got its signal at ``signalled`` or later.
 
     ``alone``: there is no other scheduler for clients to move to; where there are others, one that was
@@ -44,11 +46,11 @@
     grace = min(max_deadline, MAX_KILL_GRACE)
     last_answer = signalled + KILL_DELAY + grace - min(KILL_MARGIN, grace / 2)  # keeps half of a short grace
     kept_until = last_answer if alone or leaving else max(arriving_until, last_answer - MOVE_TIME)
-    return Drain(arriving_until, last_answer, kept_until)
+    return DrainSchedule(arriving_until, last_answer, kept_until)
 
 
 def remaining_timeout(
-    timeout: timedelta, received: timedelta, now: timedelta, drain: Drain | None
+    timeout: timedelta, received: timedelta, now: timedelta, drain: DrainSchedule | None
 ) -> timedelta:
     """Return the time left of a client's timeout; the request's last byte arrived at ``received`` or later.
 
