--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -75,7 +75,7 @@
 
     def keeps_connections(self) -> bool:
         """Whether connections are kept open after an answer."""
-        return self.draining is None or self.loop.now < self.draining.kept_until
+        return self.draining is None or self.loop.now < self.draining.keep_alive_until
 
     def remaining_time(self, timeout: timedelta, arrived: timedelta) -> timedelta:
         """Return what is left of the timeout of a request, which runs from its arrival, even while unread."""
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -30,7 +30,9 @@
 
     arriving_until: timedelta  #: clients may still be routed here; their requests keep their full timeout
     answered_by: timedelta  #: the last answer to requests that arrive after that
-    kept_until: timedelta  #: afterwards every answer closes its connection, so that clients move elsewhere
+    keep_alive_until: (
+        timedelta  #: afterwards every answer closes its connection, so that clients move elsewhere
+    )
 
 
 def drain_schedule(
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -375,7 +375,9 @@
         self.frontend.draining = drain
         if self.frontend.durable is not None:  # open jobs go on after the next start
             self.loop.call_at(drain.answered_by, self.frontend.durable.answer_all_pending)
-        self.loop.call_at(self.loop.now if self.upgrade.leaving else drain.kept_until, self._check_drained)
+        self.loop.call_at(
+            self.loop.now if self.upgrade.leaving else drain.keep_alive_until, self._check_drained
+        )
 
     def _check_drained(self) -> None:
         """End after QUIET_DURATION without work; requests that arrive until then are still accepted."""
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -54,5 +54,5 @@
     """Told to end, and past the time for which clients are kept."""
     program._signalled(bytes((signal.SIGTERM,)))
     program.loop.turn(idle=False)
-    let_pass(program, program.frontend.draining.kept_until - program.loop.clock.now())
+    let_pass(program, program.frontend.draining.keep_alive_until - program.loop.clock.now())
     program.loop.turn(idle=False)
