--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -227,7 +227,9 @@
 
     def _check_invariant(self, last_progress: timedelta) -> None:
         now = self._frontend.loop.clock.now()
-        self._frontend.tracker.invariants.half_request_ended(self.number, last_progress, self._accepted, now)
+        self._frontend.tracker.invariants.check_partial_request(
+            self.number, last_progress, self._accepted, now
+        )
 
     def _reject_all(self, error: BadRequestError) -> None:
         """Answer all waiting requests with an error and end the connection, which cannot be read further.
--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -64,7 +64,7 @@
         if unanswered and reason not in UNANSWERED_REASONS:
             self._violated(Rule.ANSWER_BEFORE_CLOSE, connection=connection, why=reason.value)
 
-    def half_request_ended(
+    def check_partial_request(
         self, connection: int, last_activity: timedelta, accepted: timedelta, now: timedelta
     ) -> None:
         """Check that a client that stopped in the middle of a request gets its error in time, ``now``.
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -57,12 +57,12 @@
 def test_partial_request_limits_with_late_accept():
     counters = Counters()
     invariants = Invariants(counters, lambda: True)
-    invariants.half_request_ended(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT)
-    invariants.half_request_ended(
+    invariants.check_partial_request(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT)
+    invariants.check_partial_request(
         1, NOW, NOW + STOPPED_CLIENT_LIMIT, NOW + STOPPED_CLIENT_LIMIT + 2 * MIN_READ_TIME
     )
     assert counters.invariants_violated == 0
-    invariants.half_request_ended(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT + timedelta(microseconds=1))
+    invariants.check_partial_request(1, NOW, NOW, NOW + STOPPED_CLIENT_LIMIT + timedelta(microseconds=1))
     assert counters.invariants_violated == 1
 
 
