--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -146,7 +146,7 @@
     def close(self, reason: CloseReason) -> None:
         """Close at once and abandon the tracked request, if any."""
         owed = self._current is not None or bool(self._waiting)
-        self._frontend.tracker.invariants.closing(self.number, owed, reason)
+        self._frontend.tracker.invariants.check_close(self.number, owed, reason)
         self._stream.close()
         self.ended(reason.value)
 
--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -59,7 +59,7 @@
             return False
         return True
 
-    def closing(self, connection: int, unanswered: bool, reason: CloseReason) -> None:
+    def check_close(self, connection: int, unanswered: bool, reason: CloseReason) -> None:
         """Check the close of a client connection; ``unanswered``: a request read on it has no answer."""
         if unanswered and reason not in UNANSWERED_REASONS:
             self._violated(Rule.ANSWER_BEFORE_CLOSE, connection=connection, why=reason.value)
