--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -44,7 +44,7 @@
         self._site = site
         self._tracker = tracker
         self._counters = counters
-        self.most = max_connections
+        self.max_connections = max_connections
         self.lease = timedelta()  # duration of a lease, where attempts have one
         self._open: set[OutgoingConnection] = set()
         self._idle: OrderedDict[OutgoingConnection, timedelta] = OrderedDict()  # idle since, oldest first
@@ -223,7 +223,7 @@
         """Reserve room in the pool for a connection, closing an idle one if needed; False if it is full."""
         if caller in self._open:  # admitted before, but the connect met a local resource shortage
             return True
-        if len(self._open) >= self.most:
+        if len(self._open) >= self.max_connections:
             if not self._idle:
                 return False
             self._close(next(iter(self._idle)), CloseReason.POOL_FULL)
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -60,7 +60,7 @@
         self._durable = durable
         self._config = config
         self.fleet: FleetLink | None = None
-        self._max_slots, self._max_outgoing = frontend.slots.max_connections, worker_client.most
+        self._max_slots, self._max_outgoing = frontend.slots.max_connections, worker_client.max_connections
 
     def state(self) -> State:
         """Return the state that the successor goes on from."""
@@ -82,7 +82,7 @@
         if self.fleet is not None:  # the other process talks to the fleet in place of this one
             self.fleet.close(leave=False) if leaving else self.fleet.open()
         if leaving:
-            self._worker_client.most = self._max_outgoing // 2
+            self._worker_client.max_connections = self._max_outgoing // 2
         else:
             self.peer_ended()
             if self._frontend.draining is None:
@@ -122,7 +122,10 @@
 
     def peer_ended(self) -> None:
         """Use all slots and descriptors again, as the other process has ended."""
-        self._frontend.slots.max_connections, self._worker_client.most = self._max_slots, self._max_outgoing
+        self._frontend.slots.max_connections, self._worker_client.max_connections = (
+            self._max_slots,
+            self._max_outgoing,
+        )
 
     def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
         """Handle a callback that the other process received."""
@@ -185,7 +188,7 @@
     def share_descriptors(self, slots: int) -> None:
         """Reduce the limits by the client slots that the old process still holds; both count together."""
         self._frontend.slots.max_connections = max(MIN_CLIENT_SLOTS, self._max_slots - slots)
-        self._worker_client.most = self._max_outgoing // 2
+        self._worker_client.max_connections = self._max_outgoing // 2
 
     def hand_over_ready(self) -> None:
         """Hand over everything that is ready for it.
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -69,9 +69,9 @@
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert (
-        limited.frontend.slots.max_connections + limited.worker_client.most
+        limited.frontend.slots.max_connections + limited.worker_client.max_connections
         < 200
-        < unlimited.frontend.slots.max_connections + unlimited.worker_client.most
+        < unlimited.frontend.slots.max_connections + unlimited.worker_client.max_connections
     )
 
 
