--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -45,7 +45,7 @@
         self._tracker = tracker
         self._counters = counters
         self.max_connections = max_connections
-        self.lease = timedelta()  # duration of a lease, where attempts have one
+        self.lease_duration = timedelta()  # duration of a lease, where attempts have one
         self._open: set[OutgoingConnection] = set()
         self._idle: OrderedDict[OutgoingConnection, timedelta] = OrderedDict()  # idle since, oldest first
         self._calls: dict[Attempt, _AttemptCall] = {}
@@ -94,7 +94,7 @@
         if attempt.token:
             headers += [
                 ("Lease-Token", b"%d" % attempt.token),
-                ("Lease-Duration", b"%dm" % (self.lease // MILLISECOND)),
+                ("Lease-Duration", b"%dm" % (self.lease_duration // MILLISECOND)),
             ]
         return call_bytes("POST", job.subject, str(attempt.target.address), headers, job.body)
 
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -132,7 +132,7 @@
             self.table.get_or_add,
         )
         self.frontend.callbacks.durable = self.durable
-        self.worker_client.lease = options.leases.duration
+        self.worker_client.lease_duration = options.leases.duration
         self.frontend.durable = DurableFront(self.loop, self.durable, lambda: self.frontend.max_retry_after)
 
     def _terms_of(self, accepted: Accepted, remaining: timedelta) -> Terms | None:
