--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -144,7 +144,7 @@
             return
         self._worker_client.forsake(attempt)
         self._tracker.end(
-            attempt, result, self._worker_client.report(_known_load(event.load)), event.result.encode()
+            attempt, result, self._worker_client.load_report(_known_load(event.load)), event.result.encode()
         )
 
 
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -76,5 +76,5 @@
         if self.caller is not None:
             probes.worker_client.free(self.caller)
         probes.ended(
-            self._target, result, probes.loop.now - self._sent, probes.worker_client.report(load or {})
+            self._target, result, probes.loop.now - self._sent, probes.worker_client.load_report(load or {})
         )
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -55,7 +55,7 @@
         """Use other settings for calls from now on."""
         self._site = site
 
-    def report(self, values: dict[str, float]) -> tuple[float, ...]:
+    def load_report(self, values: dict[str, float]) -> tuple[float, ...]:
         """Return a load report in the dispatcher's order; empty if a required value is missing."""
         site = self._site
         # A missing value that the dispatcher does not read must not invalidate the others.
@@ -196,7 +196,7 @@
         raw = answer.headers.get(b"srv-load") if answer is not None else None
         if raw is None:
             return ()
-        return self.report(read_load(raw))
+        return self.load_report(read_load(raw))
 
     # ---- connections ----------------------------------------------------------------------
 
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -89,7 +89,7 @@
 )
 def test_free_slots_read_from_any_report(serve, raw, report):
     program = serve(settings=site(load_info={"how": "inline", "fields": ["queue", "x0"]}))
-    assert program.worker_client.report(read_load(raw)) == report
+    assert program.worker_client.load_report(read_load(raw)) == report
 
 
 def test_callback_accepted_with_partial_report(tmp_path):
