--- a/carthinge/front/call_backs.py
+++ b/carthinge/front/call_backs.py
@@ -142,7 +142,7 @@
                 attempt, event.share if event.state == "running" else None, begun=event.state != "heartbeat"
             )
             return
-        self._worker_client.forsake(attempt)
+        self._worker_client.limit_answer_wait(attempt)
         self._tracker.end(
             attempt, result, self._worker_client.load_report(_known_load(event.load)), event.result.encode()
         )
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -186,7 +186,7 @@
         """Forget the call of an attempt, which has ended; the attempt may go on."""
         self._calls.pop(attempt, None)
 
-    def forsake(self, attempt: Attempt) -> None:
+    def limit_answer_wait(self, attempt: Attempt) -> None:
         """Limit the wait for the 202 of an attempt that was ended by a callback."""
         call = self._calls.get(attempt)
         if call is not None:
