--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -178,7 +178,7 @@
         if journal is not None and attempt.open:
             journal.renew(attempt, False)
 
-    def calling(self, attempt: Attempt) -> bool:
+    def post_in_progress(self, attempt: Attempt) -> bool:
         """Whether the POST of an attempt is in progress, up to its 202."""
         return attempt in self._calls
 
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -118,7 +118,7 @@
         else:
             from carthinge.durable.handover import HandOver
 
-            HandOver(self._durable, self._worker_client.calling, released)
+            HandOver(self._durable, self._worker_client.post_in_progress, released)
 
     def peer_ended(self) -> None:
         """Use all slots and descriptors again, as the other process has ended."""
@@ -207,7 +207,7 @@
             if not (tracked.pending and isinstance(client, ClientConnection) and client.awaits_answer()):
                 continue
             if all(
-                attempt.written and not (attempt.withdrawing or self._worker_client.calling(attempt))
+                attempt.written and not (attempt.withdrawing or self._worker_client.post_in_progress(attempt))
                 for attempt in tracked.open_attempts()
             ):
                 self._hand_over(tracked, client)
