--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -32,7 +32,7 @@
     def send(self, target: WorkerEndpoint, connect_timeout: timedelta) -> None:
         """Probe a worker; the probe fails if the worker is unreachable or does not answer in time."""
         probe = _Probe(self, target)
-        caller = self.worker_client.connection(target.address)
+        caller = self.worker_client.acquire(target.address)
         self.loop.call_after(TIMEOUT_FACTOR * connect_timeout, lambda: probe.time_out(caller))
         probe.caller = caller
         caller.start(probe)
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -200,7 +200,7 @@
 
     # ---- connections ----------------------------------------------------------------------
 
-    def connection(self, address: Address) -> OutgoingConnection:
+    def acquire(self, address: Address) -> OutgoingConnection:
         """Acquire a connection for a call that is not an attempt; ``free`` returns it to the pool."""
         return self._acquire(address)
 
