--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -98,7 +98,7 @@
             ]
         return call_bytes("POST", job.subject, str(attempt.target.address), headers, job.body)
 
-    def stop_unsent(self) -> None:
+    def cancel_unsent(self) -> None:
         """Cancel the attempts at leaving workers whose connection is not up yet.
 
         A connection may take longer to come up than the grace of a drain: an attempt that begins after that
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -225,7 +225,7 @@
     def _on_worker_list(self, event: WorkerList) -> None:
         """Report the worker list to the dispatcher before the attempts that it stops."""
         self.tracker.emit(event)
-        self.worker_client.stop_unsent()
+        self.worker_client.cancel_unsent()
 
     def _listen(self, taken_over: bool) -> None:
         """Listen, as the last step of the start and in a turn of its own.
