--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -155,14 +155,14 @@
     def _call(self, whole: bool = False) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        caller = self._caller
-        if caller is None or not caller.usable():
-            if caller is not None:
-                caller.close()
-            caller = self._caller = OutgoingConnection(
+        connection = self._caller
+        if connection is None or not connection.usable():
+            if connection is not None:
+                connection.close()
+            connection = self._caller = OutgoingConnection(
                 self._loop, self._address, self._connect_timeout, MAX_LIST_BYTES, STALL_TIMEOUT
             )
-            caller.open()
+            connection.open()
         retrying = self._failures > 0
         wait = self._timing.retry_wait if retrying else self._timing.wait
         margin = self._timing.retry_margin if retrying else self._timing.margin
@@ -170,7 +170,7 @@
         query = "" if revision is None else f"?index={revision}&wait={max(1, wait // MILLISECOND)}"
         self.state = WatchState.CALLING
         self._timer = self._loop.call_after(wait + margin, self._response_overdue)
-        caller.start(_WatchCall(self, (PATH + query).encode(), str(self._address), revision))
+        connection.start(_WatchCall(self, (PATH + query).encode(), str(self._address), revision))
 
     def answered(self, revision: int | None, answer: Answer) -> None:
         """Handle a response; changes since ``revision`` were requested, the whole list if it is None."""
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -32,10 +32,10 @@
     def send(self, target: WorkerEndpoint, connect_timeout: timedelta) -> None:
         """Probe a worker; the probe fails if the worker is unreachable or does not answer in time."""
         probe = _Probe(self, target)
-        caller = self.worker_client.acquire(target.address)
-        self.loop.call_after(TIMEOUT_FACTOR * connect_timeout, lambda: probe.time_out(caller))
-        probe.caller = caller
-        caller.start(probe)
+        connection = self.worker_client.acquire(target.address)
+        self.loop.call_after(TIMEOUT_FACTOR * connect_timeout, lambda: probe.time_out(connection))
+        probe.connection = connection
+        connection.start(probe)
 
     def ended(
         self, target: WorkerEndpoint, result: Result, latency: timedelta, report: tuple[float, ...]
@@ -48,7 +48,7 @@
     """One probe in progress."""
 
     def __init__(self, probes: Probes, target: WorkerEndpoint) -> None:
-        self.caller: OutgoingConnection | None = None
+        self.connection: OutgoingConnection | None = None
         self._probes = probes
         self._target = target
         self._sent = probes.loop.now
@@ -66,15 +66,15 @@
     def broken(self, written: bool, why: str) -> None:
         self.end(Result.RESET if written else Result.CONNECT_FAILED)
 
-    def time_out(self, caller: OutgoingConnection) -> None:
-        if caller.call is self:
-            caller.close()
+    def time_out(self, connection: OutgoingConnection) -> None:
+        if connection.call is self:
+            connection.close()
             self.end(Result.TIMEOUT)
 
     def end(self, result: Result, load: dict[str, float] | None = None) -> None:
         probes = self._probes
-        if self.caller is not None:
-            probes.worker_client.free(self.caller)
+        if self.connection is not None:
+            probes.worker_client.free(self.connection)
         probes.ended(
             self._target, result, probes.loop.now - self._sent, probes.worker_client.load_report(load or {})
         )
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -70,9 +70,9 @@
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        caller = self._acquire(attempt.target.address)
-        call = self._calls[attempt] = _AttemptCall(self, caller, attempt)
-        caller.start(call)
+        connection = self._acquire(attempt.target.address)
+        call = self._calls[attempt] = _AttemptCall(self, connection, attempt)
+        connection.start(call)
 
     def encode_attempt(self, attempt: Attempt) -> bytes | None:
         """Encode an attempt whose connection is up; None if it must not be sent any more.
@@ -105,26 +105,26 @@
         would be new work for a worker that accepts none.
         """
         for attempt, call in list(self._calls.items()):
-            if attempt.target.draining_or_gone and call.caller.connecting:
+            if attempt.target.draining_or_gone and call.connection.connecting:
                 self._cancel_unsent(attempt, call, WORKER_LEAVING)
 
     def client_left(self, attempt: Attempt) -> None:
         """Cancel an attempt whose connection is not up yet, even if the settings allow no withdrawals: its
         worker does not know of it."""
         call = self._calls.get(attempt)
-        if call is not None and call.caller.connecting:
+        if call is not None and call.connection.connecting:
             self._cancel_unsent(attempt, call, CLIENT_LEFT)
 
     def _cancel_unsent(self, attempt: Attempt, call: _AttemptCall, why: str) -> None:
         del self._calls[attempt]
-        self._close(call.caller, CloseReason.ATTEMPT_WITHDRAWN)
+        self._close(call.connection, CloseReason.ATTEMPT_WITHDRAWN)
         self.ended(attempt, Result.NOT_SENT, None, why)
 
     def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
         """Withdraw an attempt; ``gone`` is called once its worker knows or is certain to learn of it."""
         call = self._calls.pop(attempt, None)
         if call is not None:  # closing is enough before the 202, but the 202 may be on its way
-            self._close(call.caller, CloseReason.ATTEMPT_WITHDRAWN)
+            self._close(call.connection, CloseReason.ATTEMPT_WITHDRAWN)
             if not attempt.written:
                 self.log_withdrawn(attempt, "never sent")
                 gone()
@@ -133,12 +133,12 @@
         self._delete(attempt, gone, DELETE_RETRY_DELAY)
 
     def _delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta) -> None:
-        caller = self._acquire(attempt.target.address)
+        connection = self._acquire(attempt.target.address)
         connect = self._site.connect_timeout
         transit_time = max(MIN_DELETE_TRANSIT, DELETE_TRANSIT_SHARE * connect)
-        withdrawal = _Withdrawal(self._loop, self, caller, attempt, gone, delay, transit_time)
+        withdrawal = _Withdrawal(self._loop, self, connection, attempt, gone, delay, transit_time)
         self._loop.call_after(LATE_ANSWER_FACTOR * connect, withdrawal.time_out)
-        caller.start(withdrawal)
+        connection.start(withdrawal)
 
     def retry_delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta, why: str) -> None:
         """Retry a DELETE that was reset or could not be sent, after ``delay``: a worker that is unreachable,
@@ -206,75 +206,75 @@
 
     def _acquire(self, address: Address) -> OutgoingConnection:
         """Acquire an idle connection, the most recently used first, or open a new one."""
-        for caller in reversed(self._idle):
-            if caller.address == address:
-                del self._idle[caller]
-                if caller.usable():
-                    return caller
+        for connection in reversed(self._idle):
+            if connection.address == address:
+                del self._idle[connection]
+                if connection.usable():
+                    return connection
                 # Closed by its worker: a call on it would end in a reset, which leaves open whether it ran.
-                self._close(caller, CloseReason.WORKER_CLOSED)
+                self._close(connection, CloseReason.WORKER_CLOSED)
                 return self._acquire(address)
-        caller = OutgoingConnection(self._loop, address, self._site.connect_timeout)
-        caller.may_open = lambda: self._reserve(caller)
-        caller.open()
-        return caller
+        connection = OutgoingConnection(self._loop, address, self._site.connect_timeout)
+        connection.may_open = lambda: self._reserve(connection)
+        connection.open()
+        return connection
 
-    def _reserve(self, caller: OutgoingConnection) -> bool:
+    def _reserve(self, connection: OutgoingConnection) -> bool:
         """Reserve room in the pool for a connection, closing an idle one if needed; False if it is full."""
-        if caller in self._open:  # admitted before, but the connect met a local resource shortage
+        if connection in self._open:  # admitted before, but the connect met a local resource shortage
             return True
         if len(self._open) >= self.max_connections:
             if not self._idle:
                 return False
             self._close(next(iter(self._idle)), CloseReason.POOL_FULL)
-        self._open.add(caller)
+        self._open.add(connection)
         self._counters.connections_out += 1
         return True
 
     def close_idle(self, address: Address) -> None:
         """Close the idle connections to a worker that may be restarted by hand: calls on them would fail."""
-        for caller in [caller for caller in self._idle if caller.address == address]:
-            self._close(caller, CloseReason.WORKER_EXCLUDED)
+        for connection in [connection for connection in self._idle if connection.address == address]:
+            self._close(connection, CloseReason.WORKER_EXCLUDED)
 
     def adopt(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Add an idle connection of the predecessor process to the pool."""
-        caller = OutgoingConnection(self._loop, address, self._site.connect_timeout)
-        caller.adopt(sock)
-        self._open.add(caller)
-        self._add_idle(caller, idle_since)
+        connection = OutgoingConnection(self._loop, address, self._site.connect_timeout)
+        connection.adopt(sock)
+        self._open.add(connection)
+        self._add_idle(connection, idle_since)
 
     def release_idle(self) -> Iterator[tuple[socket.socket, Address, timedelta]]:
         """Remove the idle connections from the pool: yield the usable ones, close the others."""
         idle, self._idle = self._idle, OrderedDict()
-        for caller, since in idle.items():
-            self._open.discard(caller)
-            if caller.usable():
-                yield caller.release(), caller.address, since
+        for connection, since in idle.items():
+            self._open.discard(connection)
+            if connection.usable():
+                yield connection.release(), connection.address, since
             else:
-                caller.close()
+                connection.close()
 
-    def free(self, caller: OutgoingConnection) -> None:
+    def free(self, connection: OutgoingConnection) -> None:
         """Return a connection to the pool after a call, or drop it if it is closed."""
-        if caller.closed:
-            self._close(caller, CloseReason.UNUSABLE)
+        if connection.closed:
+            self._close(connection, CloseReason.UNUSABLE)
         else:
-            self._add_idle(caller, self._loop.now)
+            self._add_idle(connection, self._loop.now)
 
-    def free_later(self, caller: OutgoingConnection) -> None:
+    def free_later(self, connection: OutgoingConnection) -> None:
         """Return a connection whose call was dropped to the pool, in the next turn of the loop."""
-        self._loop.call_soon(lambda: self.free(caller))
+        self._loop.call_soon(lambda: self.free(connection))
 
-    def _add_idle(self, caller: OutgoingConnection, since: timedelta) -> None:
-        self._idle[caller] = since
+    def _add_idle(self, connection: OutgoingConnection, since: timedelta) -> None:
+        self._idle[connection] = since
         if not self._expiry_scheduled:
             self._expiry_scheduled = True
             self._loop.call_after(self._max_idle(), self._close_expired)
 
-    def _close(self, caller: OutgoingConnection, reason: CloseReason) -> None:
-        log.logger().debug("worker_connection_closed", address=str(caller.address), why=reason.value)
-        caller.close()
-        self._idle.pop(caller, None)
-        self._open.discard(caller)
+    def _close(self, connection: OutgoingConnection, reason: CloseReason) -> None:
+        log.logger().debug("worker_connection_closed", address=str(connection.address), why=reason.value)
+        connection.close()
+        self._idle.pop(connection, None)
+        self._open.discard(connection)
 
     def _max_idle(self) -> timedelta:
         return max(self._site.idle_close - IDLE_MARGIN, self._site.idle_close / 2)
@@ -283,26 +283,26 @@
         """Close connections that their worker would close soon; reschedule for the next one."""
         now = self._loop.clock.now()
         while self._idle:
-            caller, since = next(iter(self._idle.items()))
-            if not caller.closed and now < since + self._max_idle():
+            connection, since = next(iter(self._idle.items()))
+            if not connection.closed and now < since + self._max_idle():
                 self._loop.call_at(since + self._max_idle(), self._close_expired)
                 return
-            self._close(caller, CloseReason.IDLE_TOO_LONG)
+            self._close(connection, CloseReason.IDLE_TOO_LONG)
         self._expiry_scheduled = False
 
 
 class _AttemptCall:
     """The POST of an attempt, whose end follows from the connection until the 202, then from callbacks."""
 
-    def __init__(self, worker_client: WorkerClient, caller: OutgoingConnection, attempt: Attempt) -> None:
+    def __init__(self, worker_client: WorkerClient, connection: OutgoingConnection, attempt: Attempt) -> None:
         self._worker_client = worker_client
-        self.caller = caller
+        self.connection = connection
         self._attempt = attempt
 
     def request(self) -> bytes | None:
         data = self._worker_client.encode_attempt(self._attempt)
         if data is None:
-            self._worker_client.free_later(self.caller)
+            self._worker_client.free_later(self.connection)
         return data
 
     def written(self) -> None:
@@ -310,7 +310,7 @@
 
     def answered(self, answer: Answer) -> None:
         self._worker_client.call_ended(self._attempt)
-        self._worker_client.free(self.caller)
+        self._worker_client.free(self.connection)
         if answer.status == HTTPStatus.ACCEPTED:
             token = self._attempt.token
             if token and answer.headers.get(b"lease-token") == b"%d" % token:
@@ -330,15 +330,15 @@
         A local resource shortage counts as NOT_SENT, since the worker was never contacted.
         """
         self._worker_client.call_ended(self._attempt)
-        self._worker_client.free(self.caller)
-        unsent_result = Result.NOT_SENT if self.caller.local_shortage else Result.CONNECT_FAILED
+        self._worker_client.free(self.connection)
+        unsent_result = Result.NOT_SENT if self.connection.local_shortage else Result.CONNECT_FAILED
         self._worker_client.ended(self._attempt, Result.RESET if written else unsent_result, None, why)
 
     def time_out(self) -> None:
-        if self.caller.call is self:
-            self.caller.close()
+        if self.connection.call is self:
+            self.connection.close()
             self._worker_client.call_ended(self._attempt)
-            self._worker_client.free(self.caller)
+            self._worker_client.free(self.connection)
 
 
 class _Withdrawal:
@@ -348,7 +348,7 @@
         self,
         loop: Loop,
         worker_client: WorkerClient,
-        caller: OutgoingConnection,
+        connection: OutgoingConnection,
         attempt: Attempt,
         gone: Callable[[], None],
         delay: timedelta,
@@ -356,7 +356,7 @@
     ) -> None:
         self._loop = loop
         self._worker_client = worker_client
-        self._caller = caller
+        self._caller = connection
         self._attempt = attempt
         self._gone = gone
         self._delay = delay
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -306,7 +306,7 @@
     client = dial(program).send(job("a1"))
     reading(taken(worker, program), program)
     clients = [connection._stream for connection in program.frontend.slots.all()]
-    workers = [call.caller._stream for call in program.worker_client._calls.values()]
+    workers = [call.connection._stream for call in program.worker_client._calls.values()]
     assert len(clients) == len(workers) == 1
     for stream in clients + workers:
         assert stream._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
