--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -99,7 +99,7 @@
         self._failures = 0  # in a row
         self._counters = counters
         self._on_update = tell
-        self._caller: OutgoingConnection | None = None
+        self._connection: OutgoingConnection | None = None
         self._timer: Timer | None = None  # response timeout while CALLING, next call while PAUSING
         self._first_list_received: Callable[[], None] | None = None
 
@@ -146,20 +146,20 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._caller is not None:
-            self._caller.close()
-            self._caller = None
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
 
     # ---- calls ---------------------------------------------------------
 
     def _call(self, whole: bool = False) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        connection = self._caller
+        connection = self._connection
         if connection is None or not connection.usable():
             if connection is not None:
                 connection.close()
-            connection = self._caller = OutgoingConnection(
+            connection = self._connection = OutgoingConnection(
                 self._loop, self._address, self._connect_timeout, MAX_LIST_BYTES, STALL_TIMEOUT
             )
             connection.open()
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -356,7 +356,7 @@
     ) -> None:
         self._loop = loop
         self._worker_client = worker_client
-        self._caller = connection
+        self._connection = connection
         self._attempt = attempt
         self._gone = gone
         self._delay = delay
@@ -373,20 +373,20 @@
 
     def answered(self, answer: Answer) -> None:
         self._confirm(f"answered {answer.status}")
-        self._worker_client.free(self._caller)
+        self._worker_client.free(self._connection)
 
     def broken(self, written: bool, why: str) -> None:
-        if not self._done and (self._caller.reset or not written):
+        if not self._done and (self._connection.reset or not written):
             self._done = True
             self._worker_client.retry_delete(self._attempt, self._gone, self._delay, why)
         else:
             self._confirm(why)
-        self._worker_client.free(self._caller)
+        self._worker_client.free(self._connection)
 
     def time_out(self) -> None:
         """Close the connection of a worker that does not answer, which would be held forever otherwise."""
-        if self._caller.call is self:
-            self._caller.close()
+        if self._connection.call is self:
+            self._connection.close()
             self.broken(self._done, "no answer in time")
 
     def _confirm(self, how: str) -> None:
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -147,11 +147,11 @@
     faulty(program).fail("connect", errno.ECONNREFUSED)  # fails in the call itself, not by a selector event
     program.watch.set_address(Address("127.0.0.1", 1))
     program.watch.set_address(Address("127.0.0.1", discovery.port))
-    call = program.watch._caller.call
+    call = program.watch._connection.call
     for _ in range(20):
         program.loop.turn(idle=False)
         program.tracker.decide()
-    assert program.watch._caller.call is call and program.watch.state is WatchState.CALLING
+    assert program.watch._connection.call is call and program.watch.state is WatchState.CALLING
     assert program.counters.watch_failures == 0
     reading(taken(discovery, program), program)
 
@@ -189,7 +189,7 @@
     ).encode()
     sockets = faulty(program)
     sockets.before("connect", lambda host, port: peer.answer(200, body))
-    select, watched = program.loop._selector.select, program.watch._caller._stream._sock
+    select, watched = program.loop._selector.select, program.watch._connection._stream._sock
     monkeypatch.setattr(
         program.loop._selector,
         "select",
