--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -14,7 +14,7 @@
 
 from carthinge.fleet.retry_after import stay_away
 from carthinge.front.answer_order import HeadOfLineTimer
-from carthinge.front.call_backs import CALLBACK_PATH, NO_ANSWER
+from carthinge.front.callbacks import CALLBACK_PATH, NO_ANSWER
 from carthinge.front.gate import FrontendProtocol
 from carthinge.front.read_timer import ReadTimer
 from carthinge.front.translator import JOBS
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Final, cast
 
-from carthinge.front.call_backs import Callbacks, OtherProcess
+from carthinge.front.callbacks import Callbacks, OtherProcess
 from carthinge.front.connection import ClientConnection
 from carthinge.front.translator import Translator
 from carthinge.net import log
--- a/carthinge/front/gate.py
+++ b/carthinge/front/gate.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-from carthinge.front.call_backs import Callbacks
+from carthinge.front.callbacks import Callbacks
 from carthinge.front.translator import Translator
 from carthinge.net.connection_slots import ConnectionSlots, InboundConnection
 from carthinge.net.counters import Counters
