--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from carthinge.fleet.retry_after import stay_away
-from carthinge.front.answer_order import HeadOfLineTimer
 from carthinge.front.callbacks import CALLBACK_PATH, NO_ANSWER
 from carthinge.front.gate import FrontendProtocol
+from carthinge.front.head_of_line import HeadOfLineTimer
 from carthinge.front.read_timer import ReadTimer
 from carthinge.front.translator import JOBS
 from carthinge.net import log
