--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -14,7 +14,7 @@
 
 from carthinge.fleet.retry_after import stay_away
 from carthinge.front.callbacks import CALLBACK_PATH, NO_ANSWER
-from carthinge.front.gate import FrontendProtocol
+from carthinge.front.frontend_protocol import FrontendProtocol
 from carthinge.front.head_of_line import HeadOfLineTimer
 from carthinge.front.read_timer import ReadTimer
 from carthinge.front.translator import JOBS
