--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -52,7 +52,7 @@
         self._current: Request | None = None
         self._tracked: TrackedRequest | None = None
         self._job_call: JobCall | None = None
-        self.put_off = False  # the current request is left to the other process
+        self.deferred = False  # the current request is left to the other process
         self._finished = False
         self._read_timer = ReadTimer(frontend.loop, self._read_timed_out)
         self._head_of_line = HeadOfLineTimer(frontend.loop, self._cut_short)
@@ -122,8 +122,8 @@
 
     def handle_deferred(self) -> None:
         """Handle a deferred request."""
-        if self.put_off and self._current is not None:
-            self.put_off = False
+        if self.deferred and self._current is not None:
+            self.deferred = False
             self._waiting.appendleft(self._current)
             self._current = None
             self._handle_next()
@@ -269,7 +269,7 @@
             self._frontend.callbacks.handle(request.body, lambda status: self.reply(request, status))
         elif durable is not None and durable.handles(request, path):
             if durable.jobs.leaving:
-                self.put_off = True
+                self.deferred = True
                 return
             frontend = self._frontend
             job_call = durable.begin(
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -132,7 +132,7 @@
         """Release the connections whose request is left to the other process, with that request."""
         for connection in self._connections():
             if (
-                connection.put_off and not connection.has_partial_request()
+                connection.deferred and not connection.has_partial_request()
             ):  # a partially read request would be lost
                 arrived = connection.deferred_arrival() // MICROSECOND
                 read = connection.deferred_requests()
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -183,7 +183,7 @@
     text = job("a2", **ASYNC)
     client.send(job("a1", **ASYNC) + text[:50])
     (connection,) = program.frontend.slots.all()
-    turns(program, lambda: connection.put_off and connection.has_partial_request())
+    turns(program, lambda: connection.deferred and connection.has_partial_request())
     assert list(program.frontend.release_put_off()) == []
     client.send(text[50:])
     turns(program, lambda: not connection.has_partial_request())
