--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -128,7 +128,7 @@
                 connected = arrived if opened is None else opened.connected // MICROSECOND
                 yield connection.release(), Incoming(opened is not None, b"", connected, arrived)
 
-    def release_put_off(self) -> Iterator[tuple[socket.socket, Incoming]]:
+    def release_deferred(self) -> Iterator[tuple[socket.socket, Incoming]]:
         """Release the connections whose request is left to the other process, with that request."""
         for connection in self._connections():
             if (
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -198,7 +198,7 @@
         for sock, incoming in self._frontend.release_idle():
             self._upgrade.hand_over_incoming(sock, incoming)
         if self._durable is not None:
-            for sock, incoming in self._frontend.release_put_off():
+            for sock, incoming in self._frontend.release_deferred():
                 self._upgrade.hand_over_incoming(sock, incoming)
             for sock, waiting in self._frontend.release_waiting():
                 self._upgrade.hand_over_waiting(sock, waiting)
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -184,10 +184,10 @@
     client.send(job("a1", **ASYNC) + text[:50])
     (connection,) = program.frontend.slots.all()
     turns(program, lambda: connection.deferred and connection.has_partial_request())
-    assert list(program.frontend.release_put_off()) == []
+    assert list(program.frontend.release_deferred()) == []
     client.send(text[50:])
     turns(program, lambda: not connection.has_partial_request())
-    ((sock, incoming),) = program.frontend.release_put_off()
+    ((sock, incoming),) = program.frontend.release_deferred()
     assert incoming.read.count(b"Req-Id") + incoming.read.count(b"req-id") == 2
     sock.close()
 
