--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -48,7 +48,7 @@
     """The other process of this scheduler during an upgrade."""
 
     @property
-    def paired(self) -> bool:
+    def has_peer(self) -> bool:
         """Whether another process of this scheduler is connected."""
 
     def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
@@ -74,7 +74,7 @@
     def handle(self, body: bytes, done: Callable[[int], None]) -> None:
         """Handle a callback; calls ``done`` with the status once the process with the job has handled it."""
         event = self._read_event(body)
-        if event.id in self._tracker.by_id or not self._other_process.paired:
+        if event.id in self._tracker.by_id or not self._other_process.has_peer:
             self._handle_event(event, done)
         else:
             self._counters.job_events_passed_on += 1
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -278,7 +278,7 @@
     def set_excluded(self, worker: str, excluded: bool, done: Callable[[bool], None]) -> None:
         """Exclude or re-admit a worker, at both processes during an upgrade, before it is answered."""
         known = self.set_excluded_here(worker, excluded, confirmed=False)
-        if not self.upgrade.paired:
+        if not self.upgrade.has_peer:
             done(known)
             return
 
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -119,7 +119,7 @@
         self._pending: dict[int, Callable[[bool], None]] = {}
 
     @property
-    def paired(self) -> bool:
+    def has_peer(self) -> bool:
         """Whether another process of this scheduler is connected."""
         return self._channel is not None
 
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -282,7 +282,7 @@
         for _ in range(2):
             let_pass(program, ACCEPT_PAUSE)
             program.loop.turn(idle=False)
-        turns(program, lambda: program.upgrade.paired)
+        turns(program, lambda: program.upgrade.has_peer)
 
 
 def test_failed_takeover_ends_only_its_connection(serve, dial, worker, monkeypatch):
