--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -59,9 +59,9 @@
         self._reload_config = reload
         self.loop = Loop()
         self.counters = Counters()
-        self.table = WorkerDirectory(config.site, self.loop.clock)
+        self.directory = WorkerDirectory(config.site, self.loop.clock)
         self.dispatcher = Dispatcher(config.site.decisions, config.seed)
-        self.tracker = RequestTracker(self.loop, self.dispatcher, self.table.targets, self.counters)
+        self.tracker = RequestTracker(self.loop, self.dispatcher, self.directory.targets, self.counters)
         self.tracker.ended.add_classes(config.site.classes)
         descriptors = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         available = max(16, descriptors - RESERVED_SOCKETS - (MAX_CONNECTIONS if config.operator else 0))
@@ -75,11 +75,11 @@
             self.worker_client,
             self.counters,
             available - outgoing,
-            lambda: bool(self.table.ready),
+            lambda: bool(self.directory.ready),
             self.upgrade,
         )
         self.watch = DiscoveryWatch(
-            self.loop, config.discovery, self.table, config.site, self.counters, self._on_worker_list
+            self.loop, config.discovery, self.directory, config.site, self.counters, self._on_worker_list
         )
         self.tracker.transport = self.worker_client
         self.tracker.watch = self.watch.start
@@ -92,7 +92,7 @@
         self.handover_peer = HandoverPeer(
             self.loop,
             self.upgrade,
-            self.table,
+            self.directory,
             self.dispatcher,
             self.tracker,
             self.worker_client,
@@ -129,7 +129,7 @@
             BOOT_ID_PATH.read_text().strip(),
             self._terms_of,
             lambda number: self.dispatcher.fleet.workers[number].entry,
-            self.table.get_or_add,
+            self.directory.get_or_add,
         )
         self.frontend.callbacks.durable = self.durable
         self.worker_client.lease_duration = options.leases.duration
@@ -194,7 +194,7 @@
     def start_serving(self, state: State | None) -> None:
         """Start serving, from the state of the previous process if there is one."""
         if state is None:
-            self.tracker.emit(self.table.apply_list(self.config.known, Listing.CACHED))
+            self.tracker.emit(self.directory.apply_list(self.config.known, Listing.CACHED))
         else:
             self.config = replace(self.config, discovery=Address.parse(state.discovery))
             self.watch.set_address(self.config.discovery)
@@ -207,7 +207,7 @@
                     positions(site.kinds, state.kinds),
                 )
             )
-            self.tracker.emit(self.table.restore(state))
+            self.tracker.emit(self.directory.restore(state))
             self.handover_peer.share_descriptors(0)
         if self.durable is not None:
             self.durable.open()
@@ -245,8 +245,8 @@
         log.logger().info(
             "serving",
             listen=str(self.config.listen),
-            workers=len(self.table.ready),
-            revision=self.table.revision,
+            workers=len(self.directory.ready),
+            revision=self.directory.revision,
             discovery=str(self.config.discovery),
             taken_over=taken_over,
         )
@@ -266,7 +266,7 @@
             "failed": ended.failed,
             "attempts": counters.attempts_written,
             "in_flight": self.tracker.in_flight(),
-            "workers_known": len(self.table.listed),
+            "workers_known": len(self.directory.listed),
             "workers_excluded": fleet.excluded_count(self.loop.now // MICROSECOND),
             "overload": self.dispatcher.context.level.figures() | self.dispatcher.context.budget.figures(),
             "reloads_ok": counters.reloads_ok,
@@ -290,12 +290,12 @@
     def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
         """Apply an exclusion in this process, before the dispatcher makes its next decision."""
         number = worker_number(worker)
-        known = confirmed or worker in self.table.listed or number in self.dispatcher.fleet.out
+        known = confirmed or worker in self.directory.listed or number in self.dispatcher.fleet.out
         if known:
             log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
             self.tracker.emit(OperatorExclusion(number, excluded))
-            if number in self.table.targets:
-                self.worker_client.close_idle(self.table.targets[number].address)
+            if number in self.directory.targets:
+                self.worker_client.close_idle(self.directory.targets[number].address)
         return known
 
     # ---- signals --------------------------------------------------------------------------
@@ -351,7 +351,7 @@
             )
         )
         if (site.zones, site.kinds) != (before.zones, before.kinds):
-            self.tracker.emit(self.table.retune(site))
+            self.tracker.emit(self.directory.retune(site))
         self.tracker.ended.add_classes(site.classes)
         self.frontend.retune(site)
         self.worker_client.retune(site)
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -29,7 +29,7 @@
 def lists(program, *members):
     """Discovery has named these workers, and no others."""
     listed = Listed(revision=99, members=[Member(**each) for each in members])
-    program.watch._on_update(program.table.apply_list(listed, Listing.WHOLE))
+    program.watch._on_update(program.directory.apply_list(listed, Listing.WHOLE))
 
 
 def taken(listener, program):
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -112,9 +112,11 @@
     assert "index=9&" in answer(program, peer, 9, drained)
     line = answer(program, peer, 8, ready, complete=complete)
     assert line == "GET /discovery/hosts HTTP/1.1", "the whole list must be requested"
-    assert program.table.ready == set() and program.table.targets[worker_number("s-0")].draining_or_gone
+    assert (
+        program.directory.ready == set() and program.directory.targets[worker_number("s-0")].draining_or_gone
+    )
     assert "index=10&" in answer(program, peer, 10, ready)
-    assert program.table.ready == {"s-0"}
+    assert program.directory.ready == {"s-0"}
 
 
 def test_restarted_discovery_is_trusted_by_whole_list(watching):
@@ -123,7 +125,7 @@
     assert "index=900&" in answer(program, peer, 900, member("s-0", 1))
     answer(program, peer, 2, complete=False)
     assert "index=2&" in answer(program, peer, 2, member("s-1", 1))
-    assert program.table.ready == {"s-1"}
+    assert program.directory.ready == {"s-1"}
 
 
 def test_response_of_old_discovery_ignored_after_move(watching):
@@ -136,7 +138,7 @@
     program.watch.set_address(Address("127.0.0.1", moved.port))
     peer = taken(moved, program)
     assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1" and old.ended()
-    assert program.table.ready == {"s-0"} and program.table.revision is None
+    assert program.directory.ready == {"s-0"} and program.directory.revision is None
     assert "index=3&" in answer(program, peer, 3, member("s-1", 1))
     moved.close()
 
@@ -176,7 +178,7 @@
     back = taken(discovery, program)
     reading(back, program)
     answer(program, back, 10, member("s-0", 1, phase="Terminating"), complete=False)
-    assert program.table.targets[worker_number("s-0")].draining_or_gone
+    assert program.directory.targets[worker_number("s-0")].draining_or_gone
 
 
 def test_connecting_attempt_stops_when_worker_drains(dial, watching, monkeypatch):
@@ -202,7 +204,7 @@
     turns(program, lambda: program.counters.attempt_not_sent)
     assert (
         program.counters.attempts_written == 0
-        and program.table.targets[worker_number("s-0")].draining_or_gone
+        and program.directory.targets[worker_number("s-0")].draining_or_gone
     )
     client.close()
     worker.close()
