--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -112,7 +112,7 @@
         self.fleet = self.handover_peer.fleet
         self._quiet_since: timedelta | None = None
         self._serving = False
-        self._over = False
+        self._finished = False
 
     def _make_durable(self) -> None:
         """Create the parts that only durable jobs need."""
@@ -175,7 +175,7 @@
             workers=len(self.config.known.members),
         )
         self.upgrade.find()
-        while not self._over:
+        while not self._finished:
             self.loop.turn(idle=not self.tracker.events)
             self.tracker.decide()
             if self.upgrade.handed_over and not self.tracker.events:
@@ -394,7 +394,7 @@
         elif self._quiet_since is None:
             self._quiet_since = self.loop.now
         elif self.loop.now >= self._quiet_since + QUIET_DURATION:
-            self._over = True
+            self._finished = True
             return
         self.loop.call_after(timedelta(milliseconds=50), self._check_drained)
 
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -17,7 +17,7 @@
     for _ in range(400):
         program.loop.turn(idle=False)
         program.tracker.decide()
-        if program._over:
+        if program._finished:
             return True
         let_pass(program, timedelta(milliseconds=25))
     return False
@@ -35,7 +35,7 @@
     for _ in range(5):
         let_pass(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
         program.loop.turn(idle=False)
-        assert not program._over
+        assert not program._finished
     client.send(UP)
     assert reading(client, program)[0].endswith("503 Service Unavailable")
     assert client.ended() and ended(program)
@@ -85,7 +85,7 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
-    assert not program._over
+    assert not program._finished
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
 
@@ -100,7 +100,7 @@
     reading(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r" and not program._over
+    assert reading(client, program)[2] == b"r" and not program._finished
 
 
 def test_sigterm_between_answer_and_flush(serve, dial):
@@ -125,7 +125,7 @@
         assert chunk, f"cut off after {len(read)} bytes"
         read += chunk
         let_pass(program, timedelta(milliseconds=50))  # four seconds in all, past the end of the drain
-    assert not program._over
+    assert not program._finished
     client.close()
     assert ended(program)
 
@@ -196,7 +196,7 @@
     client = dial(program).send(UP)
     let_pass(program, timedelta(seconds=1))
     program.loop.turn(idle=False)
-    assert not program._over
+    assert not program._finished
     program.frontend._listener._update()
     assert reading(client, program)[0].endswith("503 Service Unavailable")
     assert ended(program)
@@ -214,7 +214,7 @@
     let_pass(program, timedelta(milliseconds=300))
     program.loop.turn(idle=False)
     program._signalled(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
-    assert program.frontend.draining is drain and not program._over
+    assert program.frontend.draining is drain and not program._finished
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
     client.close()
