--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -309,9 +309,9 @@
         self._wake = (wake_in, wake_out)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
             signal.signal(number, _ignore)
-        self.loop.register(wake_in, READ, lambda _: self._signalled(wake_in.recv(64)))
+        self.loop.register(wake_in, READ, lambda _: self._handle_signals(wake_in.recv(64)))
 
-    def _signalled(self, numbers: bytes) -> None:
+    def _handle_signals(self, numbers: bytes) -> None:
         if signal.SIGUSR1 in numbers:
             log.logger().info("counters", **self.counters.as_dict())
         if signal.SIGHUP in numbers:
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -52,7 +52,7 @@
 
 def drained(program):
     """Told to end, and past the time for which clients are kept."""
-    program._signalled(bytes((signal.SIGTERM,)))
+    program._handle_signals(bytes((signal.SIGTERM,)))
     program.loop.turn(idle=False)
     let_pass(program, program.frontend.draining.keep_alive_until - program.loop.clock.now())
     program.loop.turn(idle=False)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -77,7 +77,7 @@
 
     def take_then_signal(*given):
         tracked = take(*given)
-        program._signalled(bytes((signal.SIGTERM,)))
+        program._handle_signals(bytes((signal.SIGTERM,)))
         return tracked
 
     program.tracker.take = take_then_signal
@@ -95,7 +95,7 @@
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
-    sockets.before("connect", lambda host, port: program._signalled(bytes((signal.SIGTERM,))))
+    sockets.before("connect", lambda host, port: program._handle_signals(bytes((signal.SIGTERM,))))
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
@@ -114,7 +114,7 @@
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     answer = connection._answer
     connection._answer = lambda status, *more, **named: answer(status, b"x" * 300_000)
-    sockets.after("send", lambda sock, data: program._signalled(bytes((signal.SIGTERM,))))
+    sockets.after("send", lambda sock, data: program._handle_signals(bytes((signal.SIGTERM,))))
     client.send(UP)
     turns(program, lambda: program.frontend.draining is not None)
     assert connection._stream.unsent
@@ -209,11 +209,11 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
-    program._signalled(bytes((signal.SIGHUP, signal.SIGTERM)))
+    program._handle_signals(bytes((signal.SIGHUP, signal.SIGTERM)))
     drain = program.frontend.draining
     let_pass(program, timedelta(milliseconds=300))
     program.loop.turn(idle=False)
-    program._signalled(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
+    program._handle_signals(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
     assert program.frontend.draining is drain and not program._finished
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
@@ -293,7 +293,7 @@
     """SIGKILL is timed from the signal, not from the turn that read it: late requests went unanswered."""
     program = serve(settings=FIVE_SCHEDULERS)
     program.loop.ready_since = signalled = program.loop.now - timedelta(milliseconds=400)
-    program._signalled(bytes((signal.SIGTERM,)))
+    program._handle_signals(bytes((signal.SIGTERM,)))
     drain = program.frontend.draining
     assert drain.arriving_until < signalled + timedelta(milliseconds=700)
     assert drain.answered_by < signalled + timedelta(milliseconds=3700)
