--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -174,7 +174,7 @@
             sockets=limits.sockets,
             workers=len(self.config.known.members),
         )
-        self.upgrade.find()
+        self.upgrade.find_predecessor()
         while not self._finished:
             self.loop.turn(idle=not self.tracker.events)
             self.tracker.decide()
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -140,7 +140,7 @@
 
     # ---- connecting -----------------------------------------------------------------------
 
-    def find(self) -> None:
+    def find_predecessor(self) -> None:
         """Ask a running process to hand over; start serving at once if there is none."""
         if self._path is None:
             self.handler.start_serving(None)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -74,7 +74,7 @@
 
     def serve(**more):
         program = make_program(**more)
-        program.upgrade.find()
+        program.upgrade.find_predecessor()
         while not program.serving():
             program.loop.turn()
         return program
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -38,7 +38,7 @@
     file = tmp_path / "carthinge.toml"
     file.write_text(FILE.replace("{folder}", str(tmp_path / "store")))
     program = make_program(file=file, workers=1)
-    program.upgrade.find()
+    program.upgrade.find_predecessor()
     turns(program, lambda: program.serving() and program.durable.loaded)
     yield program
     program.durable.close()
@@ -165,7 +165,7 @@
 def test_deferred_request_keeps_its_arrival_time(make_program, worker):
     """The successor restarted the client's time, so the answer was late by the time of the deferral."""
     program = make_program()
-    program.upgrade.find()
+    program.upgrade.find_predecessor()
     while not program.serving():
         program.loop.turn()
     received = program.loop.now - timedelta(seconds=2)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -335,7 +335,7 @@
         sockets = faulty(program)
         sockets.fail("send_to", error)
         sockets.fail("receive", error)
-        program.upgrade.find()
+        program.upgrade.find_predecessor()
         turns(program, lambda: program.fleet.counts["not_sent"])
         until = time.monotonic() + 10
         while not program.fleet.counts["sent"]:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -30,7 +30,7 @@
     monkeypatch.setattr(program_module, "bind", noted_bind)
     monkeypatch.setattr(clock, "now", lambda: time[0])
     monkeypatch.setattr(program.loop._selector, "select", noted_select, raising=False)
-    program.upgrade.find()
+    program.upgrade.find_predecessor()
     order.append("begun")
     while "bind" not in order:
         program.loop.turn()
