--- a/carthinge/cli.py
+++ b/carthinge/cli.py
@@ -46,7 +46,7 @@
 @app.command()
 def check_config(file: File = None) -> None:
     """Read the configuration as `serve` does and print a summary."""
-    config = serving.configured(file)
+    config = serving.load_config(file)
     if config is None:
         raise typer.Exit(serving.BAD_CONFIG)
     site, durable = config.site, config.options.durable
--- a/carthinge/serving.py
+++ b/carthinge/serving.py
@@ -16,7 +16,7 @@
 NO_STORE: Final = 4
 
 
-def configured(file: str | None) -> Config | None:
+def load_config(file: str | None) -> Config | None:
     """Return the configuration; if it is invalid, print the error to standard error and return None."""
     try:
         return load(os.environ, file)
@@ -27,7 +27,7 @@
 
 def serve(log_level: str = "info", file: str | None = None) -> int:
     """Run until SIGTERM or SIGINT; return the exit code."""
-    config = configured(file)
+    config = load_config(file)
     if config is None:
         return BAD_CONFIG
     log.configure_logging(log_level, config.name)
