--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -26,7 +26,7 @@
 class Waiter(Protocol):
     """Is notified about a job; at most one of ``ended``, ``shed`` and ``mismatch`` is called."""
 
-    held: Held | None  #: the job that it waits for; set by the job
+    durable_job: Held | None  #: the job that it waits for; set by the job
 
     def accepted(self, number: int) -> None:
         """The job is accepted under this number."""
@@ -124,7 +124,7 @@
     def add(self, waiter: Waiter) -> None:
         """Add a waiter, which is notified of the job's end."""
         self.waiters.append(waiter)
-        waiter.held = self
+        waiter.durable_job = self
 
     def job(self) -> Job:
         """Return the client's request for the tracker."""
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -225,9 +225,9 @@
 
     def leave(self, waiter: Waiter) -> None:
         """Remove a waiter whose client has left or was answered; the job continues."""
-        if waiter.held is not None and waiter in waiter.held.waiters:
-            waiter.held.waiters.remove(waiter)
-        waiter.held = None
+        if waiter.durable_job is not None and waiter in waiter.durable_job.waiters:
+            waiter.durable_job.waiters.remove(waiter)
+        waiter.durable_job = None
 
     def give_up(self, durable_job: Held, done: Callable[[], None]) -> bool:
         """Give up a job for its client; ``done`` is called once that is on disk.  False if it has ended."""
--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -107,7 +107,12 @@
     def waiting_job(self) -> Waiting | None:
         """Return the durable job that the client waits for, if another process has that job."""
         job_call = self._job_call
-        if job_call is None or job_call.held is not None or not job_call.number or not self.awaits_answer():
+        if (
+            job_call is None
+            or job_call.durable_job is not None
+            or not job_call.number
+            or not self.awaits_answer()
+        ):
             return None
         job_call.detach()
         return Waiting(job_call.name, job_call.in_place, job_call.until // MICROSECOND, self.keep_alive())
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -126,7 +126,7 @@
     def resume_all(self) -> None:
         """Look up the jobs of all waiting clients again, after the store was taken back."""
         for call in list(self.waiting):
-            if call.held is None and call.number:
+            if call.durable_job is None and call.number:
                 self.jobs.ask(call.name, call.watch(call.name))
 
     def answer_all_pending(self) -> None:
@@ -141,7 +141,7 @@
     def __init__(
         self, front: DurableFront, connection: Connection, request: Request, mode: Mode, wait: timedelta
     ) -> None:
-        self.held: Held | None = None
+        self.durable_job: Held | None = None
         self.number = 0  # of its job; 0 until known
         self.mode = mode
         self.in_place = mode is Mode.IN_PLACE
@@ -194,7 +194,7 @@
     def moved(self, number: int) -> None:
         """Detach from the job, with which another process goes on."""
         self.number = number
-        self.held = None
+        self.durable_job = None
 
     def shed(self, why: Shed, retry_after: timedelta) -> None:
         """Answer that the job is not accepted."""
@@ -292,8 +292,8 @@
         An answer in time matters more than that.  There is no outcome if the job did not end in time, or if
         the request joined a job with a later deadline.
         """
-        if self.held is not None and self.held.ending is not None:
-            self.ended(self.held.ending)
+        if self.durable_job is not None and self.durable_job.ending is not None:
+            self.ended(self.durable_job.ending)
             return
         self._reply(
             HTTPStatus.GATEWAY_TIMEOUT, b"", [("Location", JOB_LOCATION + self.name)] if self.number else []
