--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -37,7 +37,7 @@
     def shed(self, reason: Shed, retry_after: timedelta) -> None:
         """The job is not accepted."""
 
-    def moved(self, number: int) -> None:
+    def handed_over(self, number: int) -> None:
         """The job continues from the store, in another process of this scheduler or in this one."""
 
     def mismatch(self) -> None:
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -125,7 +125,7 @@
         """Drop all open jobs from memory; they continue from the store, in this process or another."""
         for durable_job in list(self.register.by_number.values()):
             for waiter in durable_job.waiters:
-                waiter.moved(durable_job.accepted.number)
+                waiter.handed_over(durable_job.accepted.number)
             if durable_job.tracked is not None:
                 self._tracker.give_away(durable_job.tracked)
             self.register.remove(durable_job)
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -191,7 +191,7 @@
             timed_out = ending.timed_out
             self._reply(HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY, b"", headers)
 
-    def moved(self, number: int) -> None:
+    def handed_over(self, number: int) -> None:
         """Detach from the job, with which another process goes on."""
         self.number = number
         self.durable_job = None
