--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -154,7 +154,7 @@
 
     def _join(self, durable_job: Held, digest: bytes, waiter: Waiter) -> None:
         if durable_job.accepted.digest != digest:
-            waiter.mismatch()
+            waiter.key_mismatch()
         elif durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
         else:
@@ -165,7 +165,7 @@
     def _answer_found(self, found: Found, digest: bytes, waiter: Waiter) -> None:
         """Answer from the stored job that has the same key."""
         if found.digest != digest:
-            waiter.mismatch()
+            waiter.key_mismatch()
         elif found.state is JobState.OPEN:
             durable_job = self._register.by_number.get(found.number)
             if durable_job is not None and durable_job.ending is None:
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -40,7 +40,7 @@
     def handed_over(self, number: int) -> None:
         """The job continues from the store, in another process of this scheduler or in this one."""
 
-    def mismatch(self) -> None:
+    def key_mismatch(self) -> None:
         """The key belongs to a different request."""
 
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -202,7 +202,7 @@
             HTTPStatus.SERVICE_UNAVAILABLE, f"{why.value}\n".encode(), self._retry_after_header(retry_after)
         )
 
-    def mismatch(self) -> None:
+    def key_mismatch(self) -> None:
         """Answer that the key belongs to another request."""
         self._reply(HTTPStatus.UNPROCESSABLE_ENTITY, b"Idempotency-Key: belongs to another request\n", [])
 
