--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -20,7 +20,7 @@
     state: JobState
     result: bytes = b""
     timed_out: bool = False
-    stay_away: timedelta = timedelta()
+    retry_after: timedelta = timedelta()
 
 
 class Waiter(Protocol):
@@ -91,7 +91,7 @@
 
     def shed(self, retry_after: timedelta) -> None:
         """End the job as refused."""
-        self.jobs.end(self, Ending(JobState.REFUSED, stay_away=retry_after))
+        self.jobs.end(self, Ending(JobState.REFUSED, retry_after=retry_after))
 
     def fail(self, timed_out: bool) -> None:
         """End the job as failed."""
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -181,7 +181,7 @@
             self._reply(HTTPStatus.OK, ending.result, headers)
         elif ending.state is JobState.REFUSED:
             self._reply(
-                HTTPStatus.SERVICE_UNAVAILABLE, b"", headers + self._retry_after_header(ending.stay_away)
+                HTTPStatus.SERVICE_UNAVAILABLE, b"", headers + self._retry_after_header(ending.retry_after)
             )
         elif ending.state is JobState.GIVEN_UP:
             self._reply(HTTPStatus.GONE, b"given up by its client\n", headers)
