--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -22,7 +22,7 @@
 REOPEN_TIMEOUT: Final = timedelta(seconds=5)  # a process that is being killed holds the store a moment longer
 
 
-class HandOver:
+class StoreHandover:
     """Releases the store step by step, without blocking the loop, however slow the disk is."""
 
     def __init__(
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -116,9 +116,9 @@
         if self._durable is None:
             released(True)
         else:
-            from carthinge.durable.handover import HandOver
+            from carthinge.durable.handover import StoreHandover
 
-            HandOver(self._durable, self._worker_client.post_in_progress, released)
+            StoreHandover(self._durable, self._worker_client.post_in_progress, released)
 
     def peer_ended(self) -> None:
         """Use all slots and descriptors again, as the other process has ended."""
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -12,7 +12,7 @@
 from store_shorthands import accepted
 from world import World, job
 
-from carthinge.durable.handover import SEND_TIMEOUT, HandOver, take_back
+from carthinge.durable.handover import SEND_TIMEOUT, StoreHandover, take_back
 from carthinge.net.channel import Incoming
 from carthinge.net.deadlines import ANSWER_MARGIN
 from carthinge.net.loop import MICROSECOND
@@ -51,7 +51,7 @@
     turns(program, disk.entered.is_set)
     ended = []
     began = time.monotonic()
-    HandOver(program.durable, lambda attempt: False, ended.append)
+    StoreHandover(program.durable, lambda attempt: False, ended.append)
     longest = timedelta(seconds=time.monotonic() - began)
     until = program.loop.clock.now() + 2 * SEND_TIMEOUT
     while not ended:
@@ -136,7 +136,7 @@
     """An earlier handover would release a store whose open jobs are not loaded yet."""
     program.durable.read_back.loaded = False
     ended = []
-    HandOver(program.durable, lambda attempt: False, ended.append)
+    StoreHandover(program.durable, lambda attempt: False, ended.append)
     for _ in range(20):
         let_pass(program, SEND_TIMEOUT)
         program.loop.turn(idle=False)
@@ -195,7 +195,7 @@
 def test_record_queued_as_writer_ends_is_written(program):
     """The handover was cancelled for it, and the new process ended without the store."""
     ended, results, writer = [], [], program.durable.writer
-    HandOver(program.durable, lambda attempt: False, ended.append)
+    StoreHandover(program.durable, lambda attempt: False, ended.append)
     until = time.monotonic() + SEND_TIMEOUT.total_seconds()
     while not writer.stopped:
         assert time.monotonic() < until
