--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -69,7 +69,7 @@
             jobs.loop.call_after(POLL_INTERVAL, lambda: self._wait_for_writer(writer))
 
 
-def take_back(jobs: DurableJobs, opened: Callable[[], None]) -> None:
+def reclaim_store(jobs: DurableJobs, opened: Callable[[], None]) -> None:
     """Reopen the store after the other process has ended, and call ``opened``.
 
     Raises StoreError, from the loop, if it cannot be opened.
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -88,9 +88,9 @@
             if self._frontend.draining is None:
                 self._frontend.resume_accepting()
             if self._durable is not None:
-                from carthinge.durable.handover import take_back
+                from carthinge.durable.handover import reclaim_store
 
-                take_back(self._durable, self._store_taken_back)
+                reclaim_store(self._durable, self._store_taken_back)
 
     def _store_taken_back(self) -> None:
         if self._frontend.durable is not None:
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -12,7 +12,7 @@
 from store_shorthands import accepted
 from world import World, job
 
-from carthinge.durable.handover import SEND_TIMEOUT, StoreHandover, take_back
+from carthinge.durable.handover import SEND_TIMEOUT, StoreHandover, reclaim_store
 from carthinge.net.channel import Incoming
 from carthinge.net.deadlines import ANSWER_MARGIN
 from carthinge.net.loop import MICROSECOND
@@ -64,7 +64,7 @@
     assert ended == [False] and longest < SEND_TIMEOUT / 2
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
     disk.released.set()
-    take_back(program.durable, lambda: None)
+    reclaim_store(program.durable, lambda: None)
     turns(program, lambda: readable(client.sock))
     assert client.status() in (202, 503)
 
