--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -328,7 +328,7 @@
         else:
             self.writer.read_store(lambda store: store.find_by_token(token), answer)
 
-    def when_loaded(self, call: Callable[[], None]) -> bool:
+    def defer_until_loaded(self, call: Callable[[], None]) -> bool:
         """Defer a call until all open jobs are loaded; False if they are, or during a handover."""
         if not self.loaded and not self.leaving:
             self.read_back.defer(call)
--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -96,7 +96,9 @@
         if event.id in self._tracker.by_id:
             self._handle_event(event, lambda status: None)
             done(True)
-        elif self.durable is None or not self.durable.when_loaded(lambda: self.handle_forwarded(body, done)):
+        elif self.durable is None or not self.durable.defer_until_loaded(
+            lambda: self.handle_forwarded(body, done)
+        ):
             done(False)
 
     def _read_event(self, body: bytes) -> JobEvent:
@@ -109,7 +111,11 @@
         """Apply an event; it counts only for an attempt that its sender holds and has acknowledged."""
         tracked = self._tracker.by_id.get(event.id)
         jobs = self.durable
-        if tracked is None and jobs is not None and jobs.when_loaded(lambda: self._handle_event(event, done)):
+        if (
+            tracked is None
+            and jobs is not None
+            and jobs.defer_until_loaded(lambda: self._handle_event(event, done))
+        ):
             return
         self._counters.job_events += 1
         # By sender: a callback of a hedged attempt must not be matched with the first attempt and dropped.
