--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -289,7 +289,9 @@
         else:
             done(HTTPStatus.NO_CONTENT)
 
-    def unmatched(self, req_id: str, token: int, result: bytes | None, done: Callable[[int], None]) -> None:
+    def handle_unmatched_callback(
+        self, req_id: str, token: int, result: bytes | None, done: Callable[[int], None]
+    ) -> None:
         """Handle a callback whose token matches no open attempt; ``result`` is None if it has none.
 
         A result counts only if its token is that of the job's latest attempt and no attempt is open.  A
--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -129,7 +129,7 @@
                 done(NO_ANSWER)
             elif jobs is not None and event.token:
                 result = event.result.encode() if event.state == "done" else None
-                jobs.unmatched(event.id, event.token, result, done)
+                jobs.handle_unmatched_callback(event.id, event.token, result, done)
             else:
                 done(HTTPStatus.NO_CONTENT)
             return
