--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -12,7 +12,7 @@
 from carthinge.durable.held import Ending, Held, JobRecorder, Waiter
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, Shed
-from carthinge.durable.records import Accepted, Found, JobState
+from carthinge.durable.records import Accepted, FoundJob, JobState
 from carthinge.durable.register import Register
 from carthinge.durable.writer import Writer
 from carthinge.net.loop import MICROSECOND, Loop, Timer
@@ -110,7 +110,7 @@
             self._unwritten_timer = self._loop.call_at(timeout_at, self._shed_overdue)
         writer.write(accepted, partial(self._on_disk, durable_job))
 
-    def _on_disk(self, durable_job: Held, found: Found | None) -> None:
+    def _on_disk(self, durable_job: Held, found: FoundJob | None) -> None:
         accepted, durable_job.on_disk = durable_job.accepted, True
         if found is not None:  # another job has its key
             self._register.remove(durable_job)
@@ -162,7 +162,7 @@
             if durable_job.on_disk:
                 waiter.accepted(durable_job.accepted.number)
 
-    def _answer_found(self, found: Found, digest: bytes, waiter: Waiter) -> None:
+    def _answer_found(self, found: FoundJob, digest: bytes, waiter: Waiter) -> None:
         """Answer from the stored job that has the same key."""
         if found.digest != digest:
             waiter.key_mismatch()
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -25,7 +25,7 @@
     Accepted,
     Collected,
     Ended,
-    Found,
+    FoundJob,
     JobState,
 )
 from carthinge.durable.register import Register
@@ -196,7 +196,7 @@
 
     # ---- lookup ---------------------------------------------------------------------------
 
-    def ask(self, name: str, done: Callable[[Held | Found | int], None]) -> None:
+    def ask(self, name: str, done: Callable[[Held | FoundJob | int], None]) -> None:
         """Look up a job by name, open or ended; ``done`` gets the job or a status: 404 for a name that was
         never issued, 410 for a deleted job, 500 for a damaged one, 503 if the store cannot be read."""
         if not self.loaded:
@@ -321,7 +321,9 @@
 
     def _acknowledge_recorded(self, token: int, done: Callable[[int], None]) -> None:
         def answer(found: object) -> None:
-            is_recorded = isinstance(found, Found) and found.state is JobState.SERVED and found.token == token
+            is_recorded = (
+                isinstance(found, FoundJob) and found.state is JobState.SERVED and found.token == token
+            )
             self.stale_calls += not is_recorded
             done(HTTPStatus.NO_CONTENT if is_recorded else HTTPStatus.CONFLICT)
 
@@ -365,7 +367,7 @@
                 partial(self._ended, durable_job),
             )
 
-    def _ended(self, durable_job: Held, _: Found | None) -> None:
+    def _ended(self, durable_job: Held, _: FoundJob | None) -> None:
         self._notify_waiters(durable_job)
         self.register.remove(durable_job)
         callbacks, durable_job.callbacks = durable_job.callbacks, []
@@ -381,7 +383,7 @@
                 waiter.ended(ending)
 
 
-def _lookup_result(found: object) -> Found | int:
-    if isinstance(found, Found):
+def _lookup_result(found: object) -> FoundJob | int:
+    if isinstance(found, FoundJob):
         return found
     return HTTPStatus.GONE if found is None else HTTPStatus.SERVICE_UNAVAILABLE
--- a/carthinge/durable/records.py
+++ b/carthinge/durable/records.py
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class FoundJob:
     """A stored job in any state, as found by number, token or key."""
 
     number: int
--- a/carthinge/durable/rows.py
+++ b/carthinge/durable/rows.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from carthinge.durable.records import Accepted, Found, JobState, StoredJob, Terms
+from carthinge.durable.records import Accepted, FoundJob, JobState, StoredJob, Terms
 
 
 def body_crc(number: int, subject: bytes, body: bytes) -> int:
@@ -51,7 +51,7 @@
     )
 
 
-def decode_found(row: Sequence[Any]) -> Found:
+def decode_found(row: Sequence[Any]) -> FoundJob:
     """Decode a row of FOUND_COLUMNS, whatever the job's state."""
     number, state, digest, result, token, timed_out, req_id = row
-    return Found(number, JobState(state), digest, result or b"", token, bool(timed_out), req_id)
+    return FoundJob(number, JobState(state), digest, result or b"", token, bool(timed_out), req_id)
--- a/carthinge/durable/store.py
+++ b/carthinge/durable/store.py
@@ -31,7 +31,7 @@
     AttemptState,
     Collected,
     Ended,
-    Found,
+    FoundJob,
     Granted,
     JobState,
     OpenJobs,
@@ -212,7 +212,7 @@
 
     # ---- writing --------------------------------------------------------------------------
 
-    def apply(self, batch: Sequence[Record], time: Time) -> dict[int, Found]:
+    def apply(self, batch: Sequence[Record], time: Time) -> dict[int, FoundJob]:
         """Commit a batch in one transaction; after a sqlite3.Error it may or may not be on disk.
 
         Returns, by number of each accepted job that was not stored since its key is in use, the job with
@@ -284,9 +284,9 @@
             raise
         return existing
 
-    def _accept(self, jobs: list[Accepted]) -> dict[int, Found]:
+    def _accept(self, jobs: list[Accepted]) -> dict[int, FoundJob]:
         keyed = {job.key: job for job in jobs if job.key is not None}
-        existing: dict[int, Found] = {}
+        existing: dict[int, FoundJob] = {}
         keys = list(keyed)
         for start in range(0, len(keys), 500):
             chunk = keys[start : start + 500]
@@ -376,7 +376,7 @@
                     jobs[job].attempts.append(StoredAttempt(*rest))
         return OpenJobs(list(jobs.values()), damaged, last)
 
-    def find(self, number: int) -> Found | None:
+    def find(self, number: int) -> FoundJob | None:
         """Return a job by its number; StoreError if it is damaged."""
         rows = self._fetch_all(f"SELECT {FOUND_COLUMNS}, crc FROM jobs WHERE number = ?", (number,))
         if not rows:
@@ -387,7 +387,7 @@
             raise StoreError(f"{self.path}: job {number:x} is damaged")
         return found
 
-    def find_by_token(self, token: int) -> Found | None:
+    def find_by_token(self, token: int) -> FoundJob | None:
         """Return the job of an attempt."""
         rows = self._fetch_all("SELECT job FROM attempts WHERE token = ?", (token,))
         return self.find(rows[0][0]) if rows else None
--- a/carthinge/durable/writer.py
+++ b/carthinge/durable/writer.py
@@ -12,7 +12,7 @@
 from typing import Any, Final
 
 from carthinge.durable.errors import StoreError
-from carthinge.durable.records import Accepted, Found, Record
+from carthinge.durable.records import Accepted, FoundJob, Record
 from carthinge.durable.store import Store, Time, Usage
 from carthinge.net import log
 
@@ -24,7 +24,7 @@
 MIN_RETRY_DELAY: Final = timedelta(milliseconds=50)  # before a failed batch is retried; doubles each time
 MAX_RETRY_DELAY: Final = timedelta(seconds=2)
 FORGET_INTERVAL: Final = timedelta(seconds=1)
-Done = Callable[[Found | None], None]
+Done = Callable[[FoundJob | None], None]
 Read = Callable[[Store], object]
 
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -15,7 +15,7 @@
 from carthinge.durable.held import Ending, Held
 from carthinge.durable.jobs import DurableJobs
 from carthinge.durable.limits import Shed
-from carthinge.durable.records import Found, JobState
+from carthinge.durable.records import FoundJob, JobState
 from carthinge.front.translator import JOBS, Translator, header_text
 from carthinge.net.http import BadRequestError, Request
 from carthinge.net.loop import Loop, Timer
@@ -208,17 +208,17 @@
 
     # ---- requests for a job by name -------------------------------------------------------
 
-    def watch(self, name: str) -> Callable[[Held | Found | int], None]:
+    def watch(self, name: str) -> Callable[[Held | FoundJob | int], None]:
         """Return a function that handles the result of the lookup of that name, to wait for the job."""
 
-        def found(job: Held | Found | int) -> None:
+        def found(job: Held | FoundJob | int) -> None:
             if self._finished:
                 return
             if isinstance(job, Held):
                 self.number = job.accepted.number
                 self._front.jobs.wait(job, self)
                 self._wait_or_answer()
-            elif isinstance(job, Found):
+            elif isinstance(job, FoundJob):
                 self.number, self._asked_after_end = job.number, True
                 self.ended(Ending(job.state, job.result, job.timed_out))
             else:
@@ -226,14 +226,14 @@
 
         return found
 
-    def give_up(self, name: str) -> Callable[[Held | Found | int], None]:
+    def give_up(self, name: str) -> Callable[[Held | FoundJob | int], None]:
         """Return a function that handles the result of the lookup, to give the job up."""
 
-        def found(job: Held | Found | int) -> None:
+        def found(job: Held | FoundJob | int) -> None:
             if isinstance(job, Held):
                 if not self._front.jobs.give_up(job, lambda: self._reply(HTTPStatus.NO_CONTENT, b"", [])):
                     self._reply(HTTPStatus.CONFLICT, b"the job has ended\n", [])
-            elif isinstance(job, Found):
+            elif isinstance(job, FoundJob):
                 given_up = job.state is JobState.GIVEN_UP
                 self._reply(
                     HTTPStatus.NO_CONTENT if given_up else HTTPStatus.CONFLICT,
