--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -11,7 +11,7 @@
 from carthinge.durable import records
 from carthinge.durable.held import Ending, Held, JobRecorder, Waiter
 from carthinge.durable.job_names import key_digest, request_digest
-from carthinge.durable.limits import Limits, Shed
+from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.records import Accepted, FoundJob, JobState
 from carthinge.durable.register import Register
 from carthinge.durable.writer import Writer
@@ -50,7 +50,7 @@
         register: Register,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
-        self.shed_by_reason: dict[str, int] = dict.fromkeys((reason.name.lower() for reason in Shed), 0)
+        self.shed_by_reason: dict[str, int] = dict.fromkeys((reason.name.lower() for reason in ShedReason), 0)
         self._jobs = jobs
         self._loop = loop
         self._tracker = tracker
@@ -70,7 +70,7 @@
             return
         writer = self._jobs.writer
         reason = (
-            Shed.FAILING
+            ShedReason.FAILING
             if writer is None or self._jobs.leaving
             else self._limits.shed_reason(
                 terms.tenant_name,
@@ -81,7 +81,7 @@
             )
         )
         if reason is not None or writer is None:
-            self._shed(waiter, reason or Shed.FAILING)
+            self._shed(waiter, reason or ShedReason.FAILING)
             return
         hint = None if terms.hint is None else min(terms.hint, MAX_HINT) // MICROSECOND
         accepted = Accepted(
@@ -145,10 +145,10 @@
         durable_job.accepted.cancelled = True
         waiters, durable_job.waiters = durable_job.waiters, []
         for waiter in waiters:
-            self._shed(waiter, Shed.BACKLOG)
+            self._shed(waiter, ShedReason.BACKLOG)
         self._jobs.end(durable_job, Ending(JobState.REFUSED))
 
-    def _shed(self, waiter: Waiter, reason: Shed) -> None:
+    def _shed(self, waiter: Waiter, reason: ShedReason) -> None:
         self.shed_by_reason[reason.name.lower()] += 1
         waiter.shed(reason, RETRY_AFTER)
 
@@ -171,7 +171,7 @@
             if durable_job is not None and durable_job.ending is None:
                 self._join(durable_job, digest, waiter)
             else:  # its refusal is being written
-                self._shed(waiter, Shed.BACKLOG)
+                self._shed(waiter, ShedReason.BACKLOG)
         else:
             waiter.accepted(found.number)
             waiter.ended(Ending(found.state, found.result, found.timed_out))
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from carthinge import interface as io
-from carthinge.durable.limits import Shed
+from carthinge.durable.limits import ShedReason
 from carthinge.durable.records import Accepted, JobState, StoredAttempt
 from carthinge.net.tracked_request import Attempt, Job, TrackedRequest
 
@@ -34,7 +34,7 @@
     def ended(self, ending: Ending) -> None:
         """The job has ended."""
 
-    def shed(self, reason: Shed, retry_after: timedelta) -> None:
+    def shed(self, reason: ShedReason, retry_after: timedelta) -> None:
         """The job is not accepted."""
 
     def handed_over(self, number: int) -> None:
--- a/carthinge/durable/limits.py
+++ b/carthinge/durable/limits.py
@@ -11,7 +11,7 @@
 RECORD_OVERHEAD_BYTES: Final = 600  # on disk, per job beside its body, with its likely attempts
 
 
-class Shed(Enum):
+class ShedReason(Enum):
     """Why a durable job is not accepted; each reason is temporary."""
 
     FAILING = "the store cannot be written"
@@ -37,25 +37,25 @@
 
     def shed_reason(
         self, tenant: str, size: int, backlog: int, store_bytes: int, failing: bool
-    ) -> Shed | None:
+    ) -> ShedReason | None:
         """Return why a job with a body of ``size`` bytes is not accepted, None if it is.
 
         ``backlog``: records not on disk yet; ``store_bytes``: in use on disk, as last measured.  Each record
         of the backlog counts as a job of this size, since it may be one.
         """
         if failing:
-            return Shed.FAILING
+            return ShedReason.FAILING
         if backlog >= self.max_backlog:
-            return Shed.BACKLOG
+            return ShedReason.BACKLOG
         available_bytes = (1 - RESERVED_SHARE) * self.max_store_bytes - store_bytes
         if available_bytes < (backlog + 1) * (size + RECORD_OVERHEAD_BYTES):
-            return Shed.FULL
+            return ShedReason.FULL
         if self.open >= self.max_open:
-            return Shed.OPEN
+            return ShedReason.OPEN
         if self.tenants[tenant] >= self.max_open_per_tenant:
-            return Shed.TENANT
+            return ShedReason.TENANT
         if self.bytes + size > self.max_open_bytes:
-            return Shed.BYTES
+            return ShedReason.BYTES
         return None
 
     def add(self, tenant: str, size: int) -> None:
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -14,7 +14,7 @@
 
 from carthinge.durable.held import Ending, Held
 from carthinge.durable.jobs import DurableJobs
-from carthinge.durable.limits import Shed
+from carthinge.durable.limits import ShedReason
 from carthinge.durable.records import FoundJob, JobState
 from carthinge.front.translator import JOBS, Translator, header_text
 from carthinge.net.http import BadRequestError, Request
@@ -196,7 +196,7 @@
         self.number = number
         self.durable_job = None
 
-    def shed(self, why: Shed, retry_after: timedelta) -> None:
+    def shed(self, why: ShedReason, retry_after: timedelta) -> None:
         """Answer that the job is not accepted."""
         self._reply(
             HTTPStatus.SERVICE_UNAVAILABLE, f"{why.value}\n".encode(), self._retry_after_header(retry_after)
--- a/tests/test_durable_limits.py
+++ b/tests/test_durable_limits.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from carthinge.durable.job_names import job_name, job_number
-from carthinge.durable.limits import Limits, Shed
+from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.recovery import RecoveryQueue
 
 
@@ -13,18 +13,18 @@
     )
     accepted = {"tenant": "a", "size": 10, "backlog": 0, "store_bytes": 0, "failing": False}
     assert limits.shed_reason(**accepted) is None
-    assert limits.shed_reason(**{**accepted, "failing": True}) is Shed.FAILING
-    assert limits.shed_reason(**{**accepted, "backlog": 5}) is Shed.BACKLOG
-    assert limits.shed_reason(**{**accepted, "store_bytes": 8_500}) is Shed.FULL
-    assert limits.shed_reason(**{**accepted, "size": 101}) is Shed.BYTES
+    assert limits.shed_reason(**{**accepted, "failing": True}) is ShedReason.FAILING
+    assert limits.shed_reason(**{**accepted, "backlog": 5}) is ShedReason.BACKLOG
+    assert limits.shed_reason(**{**accepted, "store_bytes": 8_500}) is ShedReason.FULL
+    assert limits.shed_reason(**{**accepted, "size": 101}) is ShedReason.BYTES
     limits.add("a", 10)
     limits.add("a", 10)
     assert (
-        limits.shed_reason(**accepted) is Shed.TENANT
+        limits.shed_reason(**accepted) is ShedReason.TENANT
         and limits.shed_reason(**{**accepted, "tenant": "b"}) is None
     )
     limits.add("b", 10)
-    assert limits.shed_reason(**{**accepted, "tenant": "c"}) is Shed.OPEN
+    assert limits.shed_reason(**{**accepted, "tenant": "c"}) is ShedReason.OPEN
     limits.remove("a", 10)
     assert limits.shed_reason(**accepted) is None and limits.bytes == 20
 
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -8,9 +8,9 @@
 from durable_world import FILE, accept, get, put
 from world import HOST, SETTINGS, World, free_port, job
 
-from carthinge.durable.limits import Shed
+from carthinge.durable.limits import ShedReason
 
-BACKLOG_ANSWER = f"{Shed.BACKLOG.value}\n".encode()
+BACKLOG_ANSWER = f"{ShedReason.BACKLOG.value}\n".encode()
 
 
 #: Long objectives: a stub that is slow once is not marked unhealthy, and its job is not sent elsewhere.
