--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -240,7 +240,7 @@
             self._tracker.abandon(tracked)
         return True
 
-    def collected(self, number: int) -> None:
+    def mark_collected(self, number: int) -> None:
         """Shorten the retention of a result that a client has received."""
         if self.writer is not None:
             forget_at = self.loop.clock.now() + self._options.keep_collected
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -177,7 +177,7 @@
             headers.append(("Location", JOB_LOCATION + self.name))
         if ending.state is JobState.SERVED:
             if self._asked_after_end:
-                self._front.jobs.collected(self.number)
+                self._front.jobs.mark_collected(self.number)
             self._reply(HTTPStatus.OK, ending.result, headers)
         elif ending.state is JobState.REFUSED:
             self._reply(
