--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -186,7 +186,7 @@
 
     # ---- submission -----------------------------------------------------------------------
 
-    def take(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter) -> None:
+    def submit(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter) -> None:
         """Submit a request for a durable job; ``waiter`` is notified of the outcome."""
         if not self.loaded:  # its key may belong to a job that is not loaded yet
             arrived = self.loop.now
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -106,7 +106,7 @@
             mode = Mode.ASYNC if preference.respond_async else Mode.IN_PLACE
             wait = preference.wait if preference.respond_async else terms.timeout - TIMEOUT_MARGIN
             call = JobCall(self, connection, request, mode, wait)
-            self.jobs.take(job, terms, request.headers.get(b"idempotency-key") or None, call)
+            self.jobs.submit(job, terms, request.headers.get(b"idempotency-key") or None, call)
             return call
         if request.method not in (b"GET", b"DELETE"):
             raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "only GET and DELETE here")
