--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -196,11 +196,11 @@
 
     # ---- lookup ---------------------------------------------------------------------------
 
-    def ask(self, name: str, done: Callable[[Held | FoundJob | int], None]) -> None:
+    def look_up(self, name: str, done: Callable[[Held | FoundJob | int], None]) -> None:
         """Look up a job by name, open or ended; ``done`` gets the job or a status: 404 for a name that was
         never issued, 410 for a deleted job, 500 for a damaged one, 503 if the store cannot be read."""
         if not self.loaded:
-            self.read_back.defer(lambda: self.ask(name, done))
+            self.read_back.defer(lambda: self.look_up(name, done))
             return
         number = job_number(name, self._store.secret)
         if number is None:
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -112,7 +112,7 @@
             raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "only GET and DELETE here")
         name = path.removeprefix(JOB_PATH_PREFIX).decode("latin-1")
         call = JobCall(self, connection, request, Mode.WATCH, preference.wait)
-        self.jobs.ask(name, call.watch(name) if request.method == b"GET" else call.give_up(name))
+        self.jobs.look_up(name, call.watch(name) if request.method == b"GET" else call.give_up(name))
         return call
 
     def resume(
@@ -120,14 +120,14 @@
     ) -> JobCall:
         """Go on with a client that waited for a job at another process of this scheduler."""
         call = JobCall(self, connection, request, Mode.IN_PLACE if in_place else Mode.WATCH, wait)
-        self.jobs.ask(name, call.watch(name))
+        self.jobs.look_up(name, call.watch(name))
         return call
 
     def resume_all(self) -> None:
         """Look up the jobs of all waiting clients again, after the store was taken back."""
         for call in list(self.waiting):
             if call.durable_job is None and call.number:
-                self.jobs.ask(call.name, call.watch(call.name))
+                self.jobs.look_up(call.name, call.watch(call.name))
 
     def answer_all_pending(self) -> None:
         """Answer all waiting clients with the location of their job, as the program ends."""
