--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -216,7 +216,7 @@
                 lambda store: store.find(number), lambda found: done(_lookup_result(found))
             )
 
-    def wait(self, durable_job: Held, waiter: Waiter) -> None:
+    def add_waiter(self, durable_job: Held, waiter: Waiter) -> None:
         """Notify ``waiter`` of the job's end."""
         if durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -216,7 +216,7 @@
                 return
             if isinstance(job, Held):
                 self.number = job.accepted.number
-                self._front.jobs.wait(job, self)
+                self._front.jobs.add_waiter(job, self)
                 self._wait_or_answer()
             elif isinstance(job, FoundJob):
                 self.number, self._asked_after_end = job.number, True
