--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -223,7 +223,7 @@
         else:
             durable_job.add(waiter)
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove_waiter(self, waiter: Waiter) -> None:
         """Remove a waiter whose client has left or was answered; the job continues."""
         if waiter.durable_job is not None and waiter in waiter.durable_job.waiters:
             waiter.durable_job.waiters.remove(waiter)
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -311,7 +311,7 @@
     def _finish(self) -> None:
         self._finished = True
         self._front.waiting.pop(self, None)
-        self._front.jobs.leave(self)
+        self._front.jobs.remove_waiter(self)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
