--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -99,7 +99,7 @@
             (arrived + terms.timeout) // MICROSECOND,
         )
         durable_job = Held(self._jobs, accepted)
-        durable_job.add(waiter)
+        durable_job.add_waiter(waiter)
         self._register.add(durable_job)
         now = self._loop.now
         timeout_at = now + min(ACCEPT_TIMEOUT, MAX_ACCEPT_TIME_SHARE * (arrived + terms.timeout - now))
@@ -158,7 +158,7 @@
         elif durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
         else:
-            durable_job.add(waiter)
+            durable_job.add_waiter(waiter)
             if durable_job.on_disk:
                 waiter.accepted(durable_job.accepted.number)
 
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -121,7 +121,7 @@
         """Whether an attempt of the job is open."""
         return self.tracked is not None and self.tracked.first_open_attempt() is not None
 
-    def add(self, waiter: Waiter) -> None:
+    def add_waiter(self, waiter: Waiter) -> None:
         """Add a waiter, which is notified of the job's end."""
         self.waiters.append(waiter)
         waiter.durable_job = self
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -221,7 +221,7 @@
         if durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
         else:
-            durable_job.add(waiter)
+            durable_job.add_waiter(waiter)
 
     def remove_waiter(self, waiter: Waiter) -> None:
         """Remove a waiter whose client has left or was answered; the job continues."""
