--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -142,7 +142,7 @@
             for attempt in durable_job.tracked.open_attempts()
         )
 
-    def known(self, req_id: str) -> bool:
+    def has_request(self, req_id: str) -> bool:
         """Whether a durable job with that request id is open here."""
         return req_id in self.register.by_req
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -98,7 +98,7 @@
         preference = Preference.of(request)
         if not path.startswith(JOB_PATH_PREFIX):
             job, terms = translator.read(request)
-            if known(job.id) or self.jobs.known(job.id):
+            if known(job.id) or self.jobs.has_request(job.id):
                 raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Id: in use by another request")
             remaining = remaining_time(terms.timeout)
             if remaining != terms.timeout:
