--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -146,7 +146,7 @@
         """Whether a durable job with that request id is open here."""
         return req_id in self.register.by_req
 
-    def figures(self) -> dict[str, object]:
+    def metrics(self) -> dict[str, object]:
         """Return the current metrics."""
         writer = self.writer
         return {
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -271,7 +271,7 @@
             "overload": self.dispatcher.context.level.figures() | self.dispatcher.context.budget.figures(),
             "reloads_ok": counters.reloads_ok,
             "reloads_failed": counters.reloads_failed,
-            **({"durable": self.durable.figures()} if self.durable is not None else {}),
+            **({"durable": self.durable.metrics()} if self.durable is not None else {}),
             **({"fleet": self.fleet.figures()} if self.fleet is not None else {}),
         }
 
