--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -29,7 +29,7 @@
     """Manages jobs once they are accepted."""
 
     writer: Writer | None
-    leaving: bool  #: the store is being handed over, or belongs to another process
+    handing_over: bool  #: the store is being handed over, or belongs to another process
 
     def next_number(self) -> int:
         """Return a number that no job and no attempt of this store ever had."""
@@ -71,7 +71,7 @@
         writer = self._jobs.writer
         reason = (
             ShedReason.FAILING
-            if writer is None or self._jobs.leaving
+            if writer is None or self._jobs.handing_over
             else self._limits.shed_reason(
                 terms.tenant_name,
                 len(job.body),
@@ -119,7 +119,7 @@
             return
         if durable_job.ending is not None:  # shed in the meantime
             return
-        if self._jobs.leaving:
+        if self._jobs.handing_over:
             self._jobs.postpone(partial(self._on_disk, durable_job, None))
             return
         terms = self._terms_of(accepted, accepted.give_up * MICROSECOND - self._loop.now)
--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -36,14 +36,14 @@
         self._busy = busy
         self._done = done
         self._timeout_at = jobs.loop.clock.now() + SEND_TIMEOUT
-        jobs.leaving = True
+        jobs.handing_over = True
         self._wait_for_sends()
 
     def _wait_for_sends(self) -> None:
         """Wait until all jobs are loaded and no attempt is being sent."""
         jobs = self._jobs
         writer = jobs.writer
-        if writer is None or writer.failing or not jobs.leaving:
+        if writer is None or writer.failing or not jobs.handing_over:
             self._done(False)
         elif not jobs.loaded or (jobs.is_sending(self._busy) and jobs.loop.clock.now() < self._timeout_at):
             jobs.loop.call_after(POLL_INTERVAL, self._wait_for_sends)
@@ -55,11 +55,11 @@
     def _wait_for_writer(self, writer: Writer) -> None:
         """Wait until all records are on disk."""
         jobs = self._jobs
-        if writer.stopped and not writer.unwritten and jobs.leaving:
+        if writer.stopped and not writer.unwritten and jobs.handing_over:
             jobs.close()
             jobs.release_all()
             self._done(True)
-        elif not jobs.leaving or writer.failing or jobs.loop.clock.now() >= self._timeout_at:
+        elif not jobs.handing_over or writer.failing or jobs.loop.clock.now() >= self._timeout_at:
             writer.resume()
             self._done(False)
         else:
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -88,7 +88,7 @@
         )
         self._postponed: list[Callable[[], None]] = []  # calls deferred during a handover of the store
         self._sequence = 0
-        self.leaving = False  #: the store is being handed over, or belongs to another process
+        self.handing_over = False  #: the store is being handed over, or belongs to another process
         self._stopped = False
 
     @property
@@ -101,7 +101,7 @@
     def open(self) -> None:
         """Open the store, StoreError if that fails; open jobs are then loaded turn by turn."""
         self._store.open(self.time())
-        self.leaving = self._stopped = False
+        self.handing_over = self._stopped = False
         self._sequence = 0
         self.writer = Writer(self._store, self.time, lambda sock, call: self.loop.register(sock, READ, call))
         self.read_back.begin(self.writer)
@@ -250,7 +250,7 @@
 
     def grant(self, durable_job: Held, attempt: Attempt, send: Callable[[], None]) -> None:
         """Record that an attempt is about to be sent; call ``send`` once that is on disk."""
-        if self.leaving:
+        if self.handing_over:
             self.postpone(lambda: self.grant(durable_job, attempt, send) if attempt.open else None)
         elif self.writer is not None:
             attempt.token = durable_job.last_token = self.next_number()
@@ -264,7 +264,7 @@
 
     def cancel_handover(self) -> None:
         """Cancel the handover of the store and make the deferred calls."""
-        self.leaving = False
+        self.handing_over = False
         postponed, self._postponed = self._postponed, []
         for call in postponed:
             call()
@@ -334,7 +334,7 @@
 
     def defer_until_loaded(self, call: Callable[[], None]) -> bool:
         """Defer a call until all open jobs are loaded; False if they are, or during a handover."""
-        if not self.loaded and not self.leaving:
+        if not self.loaded and not self.handing_over:
             self.read_back.defer(call)
             return True
         return False
--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -125,7 +125,7 @@
         journal = tracked.journal if tracked is not None else None
         if attempt is None:
             self._counters.job_events_stale += 1
-            if jobs is not None and jobs.leaving:  # its job may be on its way to the other process
+            if jobs is not None and jobs.handing_over:  # its job may be on its way to the other process
                 done(NO_ANSWER)
             elif jobs is not None and event.token:
                 result = event.result.encode() if event.state == "done" else None
--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -273,7 +273,7 @@
         if request.method == b"POST" and path == CALLBACK_PATH:
             self._frontend.callbacks.handle(request.body, lambda status: self.reply(request, status))
         elif durable is not None and durable.handles(request, path):
-            if durable.jobs.leaving:
+            if durable.jobs.handing_over:
                 self.deferred = True
                 return
             frontend = self._frontend
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -74,7 +74,7 @@
     disk = BlockedDisk(program.durable._store)
     client = dial(program).send(job("a1", **ASYNC))
     turns(program, disk.entered.is_set)
-    program.durable.leaving = True  # a handover starts while the job is being written
+    program.durable.handing_over = True  # a handover starts while the job is being written
     disk.released.set()
     turns(program, lambda: program.durable._postponed)
     assert not program.tracker.tracked_requests
@@ -85,12 +85,12 @@
 
 def test_grant_during_cancelled_handover_is_written(program, dial):
     """The attempt was neither sent nor ended, so its job waited until its deadline."""
-    program.durable.leaving = False
+    program.durable.handing_over = False
     client = dial(program).send(job("a1", **ASYNC))
     grant = program.durable.grant
 
     def grant_while_leaving(*given):
-        program.durable.leaving = True
+        program.durable.handing_over = True
         program.durable.grant = grant
         grant(*given)
 
@@ -179,7 +179,7 @@
     """The part of the next request that was read stayed in the old process and was lost."""
     client = dial(program).send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     turns(program, lambda: program.frontend.slots.kept)
-    program.durable.leaving = True
+    program.durable.handing_over = True
     text = job("a2", **ASYNC)
     client.send(job("a1", **ASYNC) + text[:50])
     (connection,) = program.frontend.slots.all()
