--- a/carthinge/durable/records.py
+++ b/carthinge/durable/records.py
@@ -49,7 +49,7 @@
     body: bytes
     headers: tuple[tuple[str, bytes], ...]
     terms: Terms
-    came: int
+    received: int
     give_up: int
     cancelled: bool = False
 
--- a/carthinge/durable/store.py
+++ b/carthinge/durable/store.py
@@ -313,7 +313,7 @@
                     job.body,
                     msgspec.msgpack.encode(job.headers),
                     msgspec.msgpack.encode(job.terms),
-                    job.came,
+                    job.received,
                     job.give_up,
                     body_crc(job.number, job.subject, job.body),
                 )
