--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -122,7 +122,7 @@
         if self._jobs.handing_over:
             self._jobs.postpone(partial(self._on_disk, durable_job, None))
             return
-        terms = self._terms_of(accepted, accepted.give_up * MICROSECOND - self._loop.now)
+        terms = self._terms_of(accepted, accepted.deadline * MICROSECOND - self._loop.now)
         if terms is None:
             durable_job.reject()
             return
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -113,7 +113,7 @@
         if any(sent.state is AttemptState.OUT for sent in stored.attempts):
             self._restore(durable_job)
         else:
-            self.recovery_queue.add(durable_job, accepted.give_up * MICROSECOND)
+            self.recovery_queue.add(durable_job, accepted.deadline * MICROSECOND)
 
     def _readmit_due(self) -> None:
         now = self._loop.clock.now()
@@ -126,7 +126,7 @@
     def _restore(self, durable_job: Held) -> None:
         """Pass a job to the tracker, with its earlier attempts."""
         accepted = durable_job.accepted
-        time_left = accepted.give_up * MICROSECOND - self._loop.now
+        time_left = accepted.deadline * MICROSECOND - self._loop.now
         terms = self._terms_of(accepted, time_left)
         if terms is None:
             self._jobs.end(durable_job, Ending(JobState.FAILED, b"its class or tenant is no longer served\n"))
--- a/carthinge/durable/records.py
+++ b/carthinge/durable/records.py
@@ -50,7 +50,7 @@
     headers: tuple[tuple[str, bytes], ...]
     terms: Terms
     received: int
-    give_up: int
+    deadline: int
     cancelled: bool = False
 
 
--- a/carthinge/durable/store.py
+++ b/carthinge/durable/store.py
@@ -314,7 +314,7 @@
                     msgspec.msgpack.encode(job.headers),
                     msgspec.msgpack.encode(job.terms),
                     job.received,
-                    job.give_up,
+                    job.deadline,
                     body_crc(job.number, job.subject, job.body),
                 )
                 for job in jobs
