--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -8,7 +8,7 @@
 
 from carthinge import interface as io
 from carthinge.fleet import retry_after
-from carthinge.fleet.load_shedding import SheddingLevel, standing
+from carthinge.fleet.load_shedding import SheddingLevel, shedding_rank
 from carthinge.fleet.retry_budget import RetryBudget
 from carthinge.meters import KeyPopularity, QueueWait, Rate
 from carthinge.records import Attempt, Job, Worker, mix
@@ -139,7 +139,7 @@
         slowdown = self.mean_slowdown()
         slack = spec.objective + (spec.stretch - slowdown) * job.work
         worth = spec.worth if self.settings.worth_by_work else spec.worth / job.cost
-        rank = standing(over_share, job.came + slack > self.now, worth)
+        rank = shedding_rank(over_share, job.came + slack > self.now, worth)
         bearable = max(slack, spec.objective / 4)
         point = mix(job.key or self.settings.position << 40 ^ job.id)
         shed = self.level.sheds(rank, job.work, bearable, point, self._unqueued_run_time(), self.now)
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -31,7 +31,7 @@
 POINT_RANGE: Final = 1 << 64
 
 
-def standing(over_share: bool, in_time: bool, worth: float) -> int:
+def shedding_rank(over_share: bool, in_time: bool, worth: float) -> int:
     """Returns the rank of a job; the lowest ranks are shed first: jobs over their tenant's share, then jobs
     that can no longer be in time, then by ``worth`` per work (any unit, the same at all schedulers)."""
     if over_share:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,13 @@
 
 from carthinge import interface as io
 from carthinge.fleet import probe_backoff, retry_after
-from carthinge.fleet.load_shedding import INITIAL_STARTS, MIN_KEPT_SHARE, OfferedWork, SheddingLevel, standing
+from carthinge.fleet.load_shedding import (
+    INITIAL_STARTS,
+    MIN_KEPT_SHARE,
+    OfferedWork,
+    SheddingLevel,
+    shedding_rank,
+)
 from carthinge.fleet.retry_budget import RetryBudget
 
 durations = st.floats(0, 1e12) | st.just(float("inf"))
@@ -39,10 +45,10 @@
 
 @given(st.floats(1e-6, 1e6), st.floats(1e-6, 1e6))
 def test_rank_orders_share_deadline_and_worth(worth, other):
-    over, late = standing(True, True, worth), standing(False, False, worth)
-    in_time = standing(False, True, other)
-    assert over == standing(True, False, other) < late < standing(False, True, 0.0) < in_time
-    assert worth < other * 2 or in_time <= standing(False, True, worth)
+    over, late = shedding_rank(True, True, worth), shedding_rank(False, False, worth)
+    in_time = shedding_rank(False, True, other)
+    assert over == shedding_rank(True, False, other) < late < shedding_rank(False, True, 0.0) < in_time
+    assert worth < other * 2 or in_time <= shedding_rank(False, True, worth)
 
 
 @given(
