--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -80,7 +80,7 @@
         self.budget.resize(settings.instances)
         if all_new:
             self.mean_work = float(self.min_objective())
-            self.level.bearable = max(1.0, self.mean_work)
+            self.level.tolerable_wait = max(1.0, self.mean_work)
             self.served, self.arrivals, self.carried = Rate(), Rate(), Rate()
 
     def min_objective(self) -> int:
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -74,7 +74,7 @@
     """The shedding level of one scheduler.  Times are microseconds on the caller's clock."""
 
     def __init__(self, tolerable_wait: float) -> None:
-        self.bearable = max(1.0, tolerable_wait)  # the tolerable wait for a start, a moving average
+        self.tolerable_wait = max(1.0, tolerable_wait)  # the tolerable wait for a start, a moving average
         self.waiting = 0  # attempts that were sent and have not started, as far as starts are reported
         self.up = False
         self.rises = 0  # times that shedding began
@@ -100,7 +100,9 @@
 
     def observed_wait(self, now: int) -> float:
         """The wait of attempts that started recently, relative to the tolerable wait."""
-        return self._average_wait * decay_factor(self._average_wait_at, now, WAIT_DECAY_S) / self.bearable
+        return (
+            self._average_wait * decay_factor(self._average_wait_at, now, WAIT_DECAY_S) / self.tolerable_wait
+        )
 
     def expected_wait(self, run: float, now: int) -> float:
         """The wait of an attempt that is sent now, relative to the tolerable wait; ``run`` is the running
@@ -109,13 +111,15 @@
             self._first_estimate_at = now
         unknown = decay_factor(self._first_estimate_at, now, START_RATE_S)  # the assumed starts fill this in
         starts = self._starts * decay_factor(self._starts_at, now, START_RATE_S) + INITIAL_STARTS * unknown
-        rate = max(starts / (START_RATE_S * (1 - unknown) + self.bearable / 1e6 * unknown), 1 / START_RATE_S)
+        rate = max(
+            starts / (START_RATE_S * (1 - unknown) + self.tolerable_wait / 1e6 * unknown), 1 / START_RATE_S
+        )
         estimate = max(0.0, max(0, self.waiting) / rate * 1e6 - run)
         self._expected_wait += (estimate - self._expected_wait) * (
             1 - decay_factor(self._expected_wait_at, now, EXPECTED_AVERAGE_S)
         )
         self._expected_wait_at = now
-        return self._expected_wait / self.bearable
+        return self._expected_wait / self.tolerable_wait
 
     def kept(self, run: float, now: int) -> float:
         """Updates the level and returns the share of the offered work that is kept."""
@@ -138,7 +142,7 @@
         self._logged_at, self._logged_rises = now, self.rises
         return (
             f"load shedding begins: observed wait {self._average_wait / 1e3:.0f} ms, expected wait"
-            f" {self._expected_wait / 1e3:.0f} ms, tolerable wait {self.bearable / 1e3:.0f} ms"
+            f" {self._expected_wait / 1e3:.0f} ms, tolerable wait {self.tolerable_wait / 1e3:.0f} ms"
         )
 
     def figures(self) -> dict[str, float]:
@@ -152,7 +156,7 @@
 
     def sheds(self, rank: int, work: float, tolerable_wait: float, point: int, run: float, now: int) -> bool:
         """Whether to shed a job that has just arrived, by its rank, and by its point within the rank."""
-        self.bearable += (max(1.0, tolerable_wait) - self.bearable) * 0.05
+        self.tolerable_wait += (max(1.0, tolerable_wait) - self.tolerable_wait) * 0.05
         self._offered.add(rank, work, now)
         kept = self.kept(run, now)
         shed = kept < 1 and self._offered.is_in_lowest(1 - kept, rank, point)
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -61,7 +61,7 @@
         fresh.timeouts.run_patience,
         fresh.timeouts.prompt,
     )
-    assert context.level.bearable == fresh.context.level.bearable
+    assert context.level.tolerable_wait == fresh.context.level.tolerable_wait
     assert context.budget.most == fresh.context.budget.most and context.budget.left <= context.budget.most
     assert context.carried.per_s == context.served.per_s == context.arrivals.per_s == 0
 
