--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -178,7 +178,7 @@
 
         Not where queues are reported and short: silence then mostly means that the worker hangs.
         """
-        return self.settings.reports is io.Reports.OFF or self.level.up
+        return self.settings.reports is io.Reports.OFF or self.level.shedding
 
     def attempt_started(self, wait: float) -> None:
         """Record that an attempt has started after ``wait``."""
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -76,7 +76,7 @@
     def __init__(self, tolerable_wait: float) -> None:
         self.tolerable_wait = max(1.0, tolerable_wait)  # the tolerable wait for a start, a moving average
         self.waiting = 0  # attempts that were sent and have not started, as far as starts are reported
-        self.up = False
+        self.shedding = False
         self.rises = 0  # times that shedding began
         self.shed = 0  # jobs
         self._average_wait, self._average_wait_at = 0.0, 0
@@ -124,14 +124,14 @@
     def kept(self, run: float, now: int) -> float:
         """Updates the level and returns the share of the offered work that is kept."""
         observed, expected = self.observed_wait(now), self.expected_wait(run, now)
-        if not self.up and (observed > RAISE_THRESHOLD or expected > RAISE_THRESHOLD * STALL_FACTOR):
-            self.up = True
+        if not self.shedding and (observed > RAISE_THRESHOLD or expected > RAISE_THRESHOLD * STALL_FACTOR):
+            self.shedding = True
             self.rises += 1
         elif observed < LOWER_THRESHOLD and expected < RAISE_THRESHOLD * STALL_FACTOR:
-            self.up = False
+            self.shedding = False
         return (
             min(1.0, max(MIN_KEPT_SHARE, 1 - (expected - LOWER_THRESHOLD) / FULL_SHED_RANGE))
-            if self.up
+            if self.shedding
             else 1.0
         )
 
@@ -148,7 +148,7 @@
     def figures(self) -> dict[str, float]:
         """The metrics of the level."""
         return {
-            "level_up": int(self.up),
+            "level_up": int(self.shedding),
             "level_rises": self.rises,
             "shed_by_level": self.shed,
             "attempts_waiting": max(0, self.waiting),
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -35,7 +35,9 @@
         """The observations at that time, in microseconds, with the signs of life of these workers."""
         dispatcher = self.dispatcher
         known, context = dispatcher.fleet.workers, dispatcher.context
-        count_strikes = not context.level.up  # under overload silence is queueing, and no reason to suspect
+        count_strikes = (
+            not context.level.shedding
+        )  # under overload silence is queueing, and no reason to suspect
         failures = {
             worker.id: worker.strikes * count_strikes + max(0, worker.errors - 1)
             for worker in known.values()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -93,11 +93,11 @@
 
 def test_level_follows_observed_wait():
     level = SheddingLevel(SECOND)
-    assert simulate(level, 10, 20_000, 0) == 1 and not level.up
-    assert simulate(level, 4, 500_000, 5, start=10 * SECOND) < 0.5 and level.up and level.rises == 1
+    assert simulate(level, 10, 20_000, 0) == 1 and not level.shedding
+    assert simulate(level, 4, 500_000, 5, start=10 * SECOND) < 0.5 and level.shedding and level.rises == 1
     simulate(level, 0.5, 100_000, 1, start=14 * SECOND)
-    assert level.up  # between the two thresholds
-    assert simulate(level, 3, 10_000, 0, start=15 * SECOND) == 1 and not level.up
+    assert level.shedding  # between the two thresholds
+    assert simulate(level, 3, 10_000, 0, start=15 * SECOND) == 1 and not level.shedding
 
 
 def test_level_falls_without_observations():
@@ -105,7 +105,7 @@
     simulate(level, 10, 600_000, 6)
     level.waiting = 0
     assert level.kept(0.0, 10 * SECOND) < 1
-    assert level.kept(0.0, 20 * SECOND) == 1 and not level.up
+    assert level.kept(0.0, 20 * SECOND) == 1 and not level.shedding
 
 
 def test_new_scheduler_accepts_few_until_starts():
@@ -156,7 +156,7 @@
 
 def test_overload_refuses_lowest_worth():
     gateway = overloaded()
-    assert gateway.context.level.up
+    assert gateway.context.level.shedding
     actions = gateway.handle(8_100_000, [arrival(200 + n, n % 2, now=8_100_000) for n in range(20)])
     refused = {refusal.request for refusal in of(io.Refuse, actions)}
     assert refused and all(request % 2 for request in refused)
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -255,7 +255,7 @@
     adapter, worker = Insight(dispatcher, {}, 1), dispatcher.fleet.workers[101]
     worker.strikes = 1
     assert adapter.look((), 1_000_000).failures == {101: 1}
-    dispatcher.context.level.up = True
+    dispatcher.context.level.shedding = True
     assert adapter.look((), 1_000_000).failures == {}
     worker.errors = 3
     assert adapter.look((), 1_000_000).failures == {101: 2}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -129,7 +129,7 @@
         dispatcher.handle(NOW, [cold(3)])
         dispatcher.slow_start.workers_with_allowance()
         dispatcher.fleet.workers[3].cold_left = 1e6
-        dispatcher.context.level.up = level_up
+        dispatcher.context.level.shedding = level_up
         dispatcher.context.level.waited(2e4, NOW)  # between the thresholds for falling and rising
         return [
             send.worker for send in of(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
