--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -183,7 +183,7 @@
     def attempt_started(self, wait: float) -> None:
         """Record that an attempt has started after ``wait``."""
         self.level.waiting -= 1
-        self.level.waited(wait, self.now)
+        self.level.record_wait(wait, self.now)
 
     def attempt_ended(self, attempt: Attempt, served: bool) -> None:
         """Record the end of an attempt; where its start was not reported, time beyond its run is a wait."""
@@ -195,7 +195,7 @@
                 self.carried.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
         if served and not attempt.begun:
             run_time = attempt.job.work * self.slowdown(attempt.worker)
-            self.level.waited(self.now - attempt.sent - run_time, self.now)
+            self.level.record_wait(self.now - attempt.sent - run_time, self.now)
 
     def schedulers_per_worker(self) -> float:
         """Return how many schedulers, this one included, have a worker of this one's subset in theirs."""
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -85,7 +85,7 @@
         self._offered = OfferedWork()
         self._logged_at, self._logged_rises = -1, 0
 
-    def waited(self, wait: float, now: int) -> None:
+    def record_wait(self, wait: float, now: int) -> None:
         """Records that an attempt started after ``wait``, or has waited that long and not started."""
         gain = min(0.5, max(0.1, 1 - decay_factor(self._average_wait_at, now, WAIT_AVERAGE_S)))
         self._average_wait += (max(0.0, wait) - self._average_wait) * gain
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -108,7 +108,7 @@
         """Hedge an attempt that has not started: it is queued, and a copy may start sooner elsewhere."""
         if not attempt.open or attempt.begun:
             return
-        self.context.level.waited(self.context.now - attempt.sent, self.context.now)
+        self.context.level.record_wait(self.context.now - attempt.sent, self.context.now)
         attempt.set_queued(True)  # stops further sends: jobs queued at a worker cannot be ordered by worth
         if attempt.job.hedged and not attempt.job.answered:
             attempt.alone = False  # its delay is recorded here; record_start must not count it again
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -85,7 +85,7 @@
     kept = 1.0
     for now in range(start, start + int(seconds * SECOND), every):
         level.waiting = waiting
-        level.waited(wait, now)
+        level.record_wait(wait, now)
         level.ended(True, True, now)
         kept = level.kept(0.0, now)
     return kept
@@ -127,7 +127,7 @@
     for gap, wait, waiting, served in steps:
         now += gap
         level.waiting = waiting
-        level.waited(wait, now)
+        level.record_wait(wait, now)
         level.ended(True, served, now)
         assert MIN_KEPT_SHARE <= level.kept(1000.0, now) <= 1
         assert level.observed_wait(now) >= 0 and level.expected_wait(0.0, now) >= 0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -89,7 +89,7 @@
     context.carried.per_s = 1e5  # two jobs per second at a warm worker
     dispatcher.handle(NOW, [cold(2)])
     for step in range(8):  # jobs sent to the warm worker are queued there
-        context.level.waited(1e6, NOW + step)
+        context.level.record_wait(1e6, NOW + step)
         context.level.waiting = 50
     dispatcher.slow_start.workers_with_allowance()
     dispatcher.fleet.workers[2].cold_left = 2 * context.mean_work
@@ -111,7 +111,7 @@
     dispatcher.handle(NOW, [cold(2)])
     dispatcher.context.level.waiting = 50
     for step in range(8):
-        dispatcher.context.level.waited(1e6, NOW + step)
+        dispatcher.context.level.record_wait(1e6, NOW + step)
     dispatcher.slow_start.workers_with_allowance()
     dispatcher.fleet.workers[2].cold_left = 60_000.0  # one job
     burst = [arrival(request, now=NOW + 10) for request in range(40)]
@@ -130,7 +130,7 @@
         dispatcher.slow_start.workers_with_allowance()
         dispatcher.fleet.workers[3].cold_left = 1e6
         dispatcher.context.level.shedding = level_up
-        dispatcher.context.level.waited(2e4, NOW)  # between the thresholds for falling and rising
+        dispatcher.context.level.record_wait(2e4, NOW)  # between the thresholds for falling and rising
         return [
             send.worker for send in of(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
         ]
