--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -187,7 +187,7 @@
 
     def attempt_ended(self, attempt: Attempt, served: bool) -> None:
         """Record the end of an attempt; where its start was not reported, time beyond its run is a wait."""
-        self.level.ended(attempt.begun > 0, served, self.now)
+        self.level.record_end(attempt.begun > 0, served, self.now)
         if served:
             self._update_capacity()
             self.served.add(attempt.job.work, self.now)
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -91,7 +91,7 @@
         self._average_wait += (max(0.0, wait) - self._average_wait) * gain
         self._average_wait_at = now
 
-    def ended(self, begun: bool, served: bool, now: int) -> None:
+    def record_end(self, begun: bool, served: bool, now: int) -> None:
         """Records the end of an attempt; one that never started no longer waits."""
         self.waiting -= not begun
         if served:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -86,7 +86,7 @@
     for now in range(start, start + int(seconds * SECOND), every):
         level.waiting = waiting
         level.record_wait(wait, now)
-        level.ended(True, True, now)
+        level.record_end(True, True, now)
         kept = level.kept(0.0, now)
     return kept
 
@@ -118,7 +118,7 @@
     warmed_up = SheddingLevel(SECOND)
     for now in range(0, SECOND, 10_000):
         assert not warmed_up.sheds(0, 1.0, SECOND, 1 << 63, 0.0, now)
-        warmed_up.ended(True, True, now)
+        warmed_up.record_end(True, True, now)
 
 
 @given(st.lists(st.tuples(st.integers(0, SECOND), st.floats(0, 1e9), st.integers(-2, 50), st.booleans())))
@@ -128,7 +128,7 @@
         now += gap
         level.waiting = waiting
         level.record_wait(wait, now)
-        level.ended(True, served, now)
+        level.record_end(True, served, now)
         assert MIN_KEPT_SHARE <= level.kept(1000.0, now) <= 1
         assert level.observed_wait(now) >= 0 and level.expected_wait(0.0, now) >= 0
 
