--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -241,7 +241,7 @@
 def features_off() -> Iterator[None]:
     """Disable load shedding, the spread of Retry-After and the shared probe backoff."""
     with (
-        mock.patch.object(SheddingLevel, "kept", lambda *_: 1.0),
+        mock.patch.object(SheddingLevel, "kept_share", lambda *_: 1.0),
         mock.patch.object(retry_after, "stay_away", lambda room, least, most, point: most),
         mock.patch.object(probe_backoff, "factor", lambda sharers: 1.0),
     ):
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -121,7 +121,7 @@
         self._expected_wait_at = now
         return self._expected_wait / self.tolerable_wait
 
-    def kept(self, run: float, now: int) -> float:
+    def kept_share(self, run: float, now: int) -> float:
         """Updates the level and returns the share of the offered work that is kept."""
         observed, expected = self.observed_wait(now), self.expected_wait(run, now)
         if not self.shedding and (observed > RAISE_THRESHOLD or expected > RAISE_THRESHOLD * STALL_FACTOR):
@@ -158,7 +158,7 @@
         """Whether to shed a job that has just arrived, by its rank, and by its point within the rank."""
         self.tolerable_wait += (max(1.0, tolerable_wait) - self.tolerable_wait) * 0.05
         self._offered.add(rank, work, now)
-        kept = self.kept(run, now)
+        kept = self.kept_share(run, now)
         shed = kept < 1 and self._offered.is_in_lowest(1 - kept, rank, point)
         self.shed += shed
         return shed
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -87,7 +87,7 @@
         level.waiting = waiting
         level.record_wait(wait, now)
         level.record_end(True, True, now)
-        kept = level.kept(0.0, now)
+        kept = level.kept_share(0.0, now)
     return kept
 
 
@@ -104,8 +104,8 @@
     level = SheddingLevel(SECOND)
     simulate(level, 10, 600_000, 6)
     level.waiting = 0
-    assert level.kept(0.0, 10 * SECOND) < 1
-    assert level.kept(0.0, 20 * SECOND) == 1 and not level.shedding
+    assert level.kept_share(0.0, 10 * SECOND) < 1
+    assert level.kept_share(0.0, 20 * SECOND) == 1 and not level.shedding
 
 
 def test_new_scheduler_accepts_few_until_starts():
@@ -129,7 +129,7 @@
         level.waiting = waiting
         level.record_wait(wait, now)
         level.record_end(True, served, now)
-        assert MIN_KEPT_SHARE <= level.kept(1000.0, now) <= 1
+        assert MIN_KEPT_SHARE <= level.kept_share(1000.0, now) <= 1
         assert level.observed_wait(now) >= 0 and level.expected_wait(0.0, now) >= 0
 
 
