--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -149,7 +149,7 @@
             )
             self.level.shed += shared_shed and not shed
             shed |= shared_shed
-        if line := self.level.news(self.now):
+        if line := self.level.log_line(self.now):
             self.actions.append(io.LogLine(line))
         return shed
 
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -135,7 +135,7 @@
             else 1.0
         )
 
-    def news(self, now: int) -> str:
+    def log_line(self, now: int) -> str:
         """Returns a log line if shedding has begun since the last one, at most one per interval; else ""."""
         if self.rises == self._logged_rises or 0 <= self._logged_at > now - LOG_INTERVAL_S * 1e6:
             return ""
