--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -135,7 +135,7 @@
         """Start as after a crash: the retries left and the open requests are lost."""
         self.incarnation += 1000
         self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.incarnation)
-        self.gifts[name].retune(self.budgets[name].most)
+        self.gifts[name].retune(self.budgets[name].max_retries)
         self.unspent += self.budgets[name].left
 
     def period(self, busy: Sequence[str], served: int = 40) -> None:
@@ -166,7 +166,9 @@
     def check(self) -> None:
         left = [budget.left for budget in self.budgets.values()]
         assert sum(left) <= self.unspent + 1e-6, (self.time, left, self.unspent)
-        assert all(0 <= own <= budget.most for own, budget in zip(left, self.budgets.values(), strict=True))
+        assert all(
+            0 <= own <= budget.max_retries for own, budget in zip(left, self.budgets.values(), strict=True)
+        )
         assert sum(left) <= RetryBudget.bound(len(self.names))
 
 
--- a/carthinge/fleet/retry_budget.py
+++ b/carthinge/fleet/retry_budget.py
@@ -15,18 +15,18 @@
     """
 
     def __init__(self, instances: int) -> None:
-        self.most = self.max_for(instances)
-        self.left = self.most / MAX_BUDGET  # a tenth of the maximum, up to one retry
+        self.max_retries = self.max_for(instances)
+        self.left = self.max_retries / MAX_BUDGET  # a tenth of the maximum, up to one retry
         self.spent = 0
 
     def resize(self, instances: int) -> None:
         """Applies a new number of schedulers."""
-        self.most = self.max_for(instances)
-        self.left = min(self.left, self.most)
+        self.max_retries = self.max_for(instances)
+        self.left = min(self.left, self.max_retries)
 
     def pass_on(self, attempts: float) -> None:
         """Adds retries received from other schedulers; negative for retries given to them."""
-        self.left = min(max(0.0, self.left + attempts), self.most)
+        self.left = min(max(0.0, self.left + attempts), self.max_retries)
 
     @staticmethod
     def max_for(instances: int) -> float:
@@ -40,7 +40,7 @@
 
     def earn(self) -> None:
         """Adds the share of a served job."""
-        self.left = min(self.left + EARNED_PER_SERVED_JOB, self.most)
+        self.left = min(self.left + EARNED_PER_SERVED_JOB, self.max_retries)
 
     def allows(self) -> bool:
         """Whether a retry may be made now."""
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -68,7 +68,7 @@
             levels,
             spent,
             context.budget.left,
-            context.budget.most,
+            context.budget.max_retries,
         )
 
     def view(self, node: Talk, parts: tuple[float, ...]) -> FleetView:
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -62,7 +62,10 @@
         fresh.timeouts.prompt,
     )
     assert context.level.tolerable_wait == fresh.context.level.tolerable_wait
-    assert context.budget.most == fresh.context.budget.most and context.budget.left <= context.budget.most
+    assert (
+        context.budget.max_retries == fresh.context.budget.max_retries
+        and context.budget.left <= context.budget.max_retries
+    )
     assert context.carried.per_s == context.served.per_s == context.arrivals.per_s == 0
 
 
