--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -136,21 +136,21 @@
         self.incarnation += 1000
         self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.incarnation)
         self.gifts[name].retune(self.budgets[name].max_retries)
-        self.unspent += self.budgets[name].left
+        self.unspent += self.budgets[name].retries_left
 
     def period(self, busy: Sequence[str], served: int = 40) -> None:
         """Each serves ``served`` jobs; the busy ones spend all retries that they can."""
         self.time += PERIOD
         for name, budget in self.budgets.items():
             for _ in range(served):
-                before = budget.left
+                before = budget.retries_left
                 budget.earn()
-                self.unspent += budget.left - before
+                self.unspent += budget.retries_left - before
             while name in busy and budget.allows():
                 budget.spend()
                 self.unspent -= 1
             others = [other for other in self.side(name) if other != name]
-            if asking := self.gifts[name].ask(budget.left, others):
+            if asking := self.gifts[name].ask(budget.retries_left, others):
                 self.send("ask", name, asking.lender, asking.number, asking.units)
         for _ in range(3):
             for kind, sender, to, number, units in self.receive_due():
@@ -158,13 +158,13 @@
                 gifts, budget = self.gifts[to], self.budgets[to]
                 if kind == "grant":
                     budget.pass_on(gifts.receive(sender, number, units) / UNITS)
-                elif given := gifts.grant(sender, number, units, budget.left, others):
+                elif given := gifts.grant(sender, number, units, budget.retries_left, others):
                     budget.pass_on(-given / UNITS)
                     self.send("grant", to, sender, number, given)
                 self.check()
 
     def check(self) -> None:
-        left = [budget.left for budget in self.budgets.values()]
+        left = [budget.retries_left for budget in self.budgets.values()]
         assert sum(left) <= self.unspent + 1e-6, (self.time, left, self.unspent)
         assert all(
             0 <= own <= budget.max_retries for own, budget in zip(left, self.budgets.values(), strict=True)
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -49,7 +49,7 @@
         return self.insight.look(workers, self.simulation.clock.now)
 
     def repeats(self) -> float:
-        return float(self.module.context.budget.left)
+        return float(self.module.context.budget.retries_left)
 
     def receive(self, packet: Packet) -> None:
         if self.scheduler.module is self.module:
--- a/carthinge/fleet/retry_budget.py
+++ b/carthinge/fleet/retry_budget.py
@@ -16,17 +16,17 @@
 
     def __init__(self, instances: int) -> None:
         self.max_retries = self.max_for(instances)
-        self.left = self.max_retries / MAX_BUDGET  # a tenth of the maximum, up to one retry
+        self.retries_left = self.max_retries / MAX_BUDGET  # a tenth of the maximum, up to one retry
         self.spent = 0
 
     def resize(self, instances: int) -> None:
         """Applies a new number of schedulers."""
         self.max_retries = self.max_for(instances)
-        self.left = min(self.left, self.max_retries)
+        self.retries_left = min(self.retries_left, self.max_retries)
 
     def pass_on(self, attempts: float) -> None:
         """Adds retries received from other schedulers; negative for retries given to them."""
-        self.left = min(max(0.0, self.left + attempts), self.max_retries)
+        self.retries_left = min(max(0.0, self.retries_left + attempts), self.max_retries)
 
     @staticmethod
     def max_for(instances: int) -> float:
@@ -40,17 +40,17 @@
 
     def earn(self) -> None:
         """Adds the share of a served job."""
-        self.left = min(self.left + EARNED_PER_SERVED_JOB, self.max_retries)
+        self.retries_left = min(self.retries_left + EARNED_PER_SERVED_JOB, self.max_retries)
 
     def allows(self) -> bool:
         """Whether a retry may be made now."""
-        return self.left >= 1 - 1e-9
+        return self.retries_left >= 1 - 1e-9
 
     def figures(self) -> dict[str, float]:
         """The metrics of the budget."""
-        return {"budget_left": round(self.left, 1), "budget_spent": self.spent}
+        return {"budget_left": round(self.retries_left, 1), "budget_spent": self.spent}
 
     def spend(self) -> None:
         """Deducts a retry, made here or by a client; the budget does not go below zero."""
         self.spent += 1
-        self.left = max(0.0, self.left - 1)
+        self.retries_left = max(0.0, self.retries_left - 1)
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -67,7 +67,7 @@
             waiting / ended_per_s,
             levels,
             spent,
-            context.budget.left,
+            context.budget.retries_left,
             context.budget.max_retries,
         )
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -184,7 +184,7 @@
             retried += 1
     assert retried <= 0.1 * served + budget.max_retries + 1e-6
     assert RetryBudget.bound(instances) <= max(200, instances) + 1e-6
-    restarted = RetryBudget(instances).left * instances  # after a restart of all schedulers
+    restarted = RetryBudget(instances).retries_left * instances  # after a restart of all schedulers
     assert restarted <= max(20, instances / 10) + 1e-6
 
 
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -64,7 +64,7 @@
     assert context.level.tolerable_wait == fresh.context.level.tolerable_wait
     assert (
         context.budget.max_retries == fresh.context.budget.max_retries
-        and context.budget.left <= context.budget.max_retries
+        and context.budget.retries_left <= context.budget.max_retries
     )
     assert context.carried.per_s == context.served.per_s == context.arrivals.per_s == 0
 
