--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -157,9 +157,9 @@
                 others = [other for other in self.side(to) if other != to]
                 gifts, budget = self.gifts[to], self.budgets[to]
                 if kind == "grant":
-                    budget.pass_on(gifts.receive(sender, number, units) / UNITS)
+                    budget.transfer(gifts.receive(sender, number, units) / UNITS)
                 elif given := gifts.grant(sender, number, units, budget.retries_left, others):
-                    budget.pass_on(-given / UNITS)
+                    budget.transfer(-given / UNITS)
                     self.send("grant", to, sender, number, given)
                 self.check()
 
--- a/carthinge/fleet/retry_budget.py
+++ b/carthinge/fleet/retry_budget.py
@@ -24,7 +24,7 @@
         self.max_retries = self.max_for(instances)
         self.retries_left = min(self.retries_left, self.max_retries)
 
-    def pass_on(self, attempts: float) -> None:
+    def transfer(self, attempts: float) -> None:
         """Adds retries received from other schedulers; negative for retries given to them."""
         self.retries_left = min(max(0.0, self.retries_left + attempts), self.max_retries)
 
