--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -242,7 +242,7 @@
     """Disable load shedding, the spread of Retry-After and the shared probe backoff."""
     with (
         mock.patch.object(SheddingLevel, "kept_share", lambda *_: 1.0),
-        mock.patch.object(retry_after, "stay_away", lambda room, least, most, point: most),
+        mock.patch.object(retry_after, "compute_retry_after", lambda room, least, most, point: most),
         mock.patch.object(probe_backoff, "factor", lambda sharers: 1.0),
     ):
         yield
--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -207,7 +207,7 @@
         room = retry_after.until_room(len(self.jobs) * self.mean_work, self.served.current(self.now))
         point = mix(settings.position << 40 ^ job.id)
         limit = settings.max_retry_after * settings.may_send_retry_after
-        return retry_after.stay_away(room, job.spec.objective, limit, point)
+        return retry_after.compute_retry_after(room, job.spec.objective, limit, point)
 
     def request_watch(self) -> None:
         """Request a watch on discovery."""
--- a/carthinge/fleet/retry_after.py
+++ b/carthinge/fleet/retry_after.py
@@ -12,7 +12,7 @@
     return 1e6 * held / ended_per_s if ended_per_s > 0 else float("inf")
 
 
-def stay_away(room: float, least: float, most: int, point: int) -> int:
+def compute_retry_after(room: float, least: float, most: int, point: int) -> int:
     """Returns the retry_after of a request in microseconds, at most ``most``: at least ``room``, the time
     until there is capacity, and longer by the request's ``point`` (a hash, 0 up to 2**64) to spread retries.
 
--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from carthinge.fleet.retry_after import stay_away
+from carthinge.fleet.retry_after import compute_retry_after
 from carthinge.front.callbacks import CALLBACK_PATH, NO_ANSWER
 from carthinge.front.frontend_protocol import FrontendProtocol
 from carthinge.front.head_of_line import HeadOfLineTimer
@@ -322,7 +322,9 @@
             frontend.counters.shed_for_room += 1
             frontend.tracker.ended.refused[terms.class_name] += 1
             jitter = mix(frontend.counters.shed_for_room)  # when slots become free cannot be predicted
-            retry_after = stay_away(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
+            retry_after = (
+                compute_retry_after(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
+            )
             self._shed(retry_after, keep_alive=False)
             return
         terms = replace(terms, timeout=frontend.remaining_time(terms.timeout, request.received_at))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 
 @given(durations, st.floats(0, 1e9), st.integers(0, 10**9), points)
 def test_retry_after_is_within_bounds(room, least, most, point):
-    delay = retry_after.stay_away(room, least, most, point)
+    delay = retry_after.compute_retry_after(room, least, most, point)
     assert 0 <= delay <= most
     assert delay >= int(min(max(room, least), most / 2))
 
@@ -30,7 +30,7 @@
 @given(durations, st.integers(1000, 10**9))
 def test_retry_after_is_spread_evenly(room, most):
     shortest = min(max(room, 100), most / 2)
-    times = [retry_after.stay_away(room, 100, most, part << 60) for part in range(16)]
+    times = [retry_after.compute_retry_after(room, 100, most, part << 60) for part in range(16)]
     assert times == sorted(times)
     assert times[-1] - times[0] >= int(shortest * 14 / 16)
 
