--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -204,7 +204,7 @@
     def retry_after_us(self, job: Job) -> int:
         """Return the delay before a refused client may retry; 0 where the settings give none."""
         settings = self.settings
-        room = retry_after.until_room(len(self.jobs) * self.mean_work, self.served.current(self.now))
+        room = retry_after.time_until_capacity(len(self.jobs) * self.mean_work, self.served.current(self.now))
         point = mix(settings.position << 40 ^ job.id)
         limit = settings.max_retry_after * settings.may_send_retry_after
         return retry_after.compute_retry_after(room, job.spec.objective, limit, point)
--- a/carthinge/fleet/retry_after.py
+++ b/carthinge/fleet/retry_after.py
@@ -6,7 +6,7 @@
 POINT_RANGE: Final = 1 << 64
 
 
-def until_room(held: float, ended_per_s: float) -> float:
+def time_until_capacity(held: float, ended_per_s: float) -> float:
     """The time in microseconds in which a scheduler finishes the ``held`` work at the current rate (Little's
     law); infinite if nothing has finished yet."""
     return 1e6 * held / ended_per_s if ended_per_s > 0 else float("inf")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,8 +36,8 @@
 
 
 def test_time_until_capacity_follows_littles_law():
-    assert retry_after.until_room(3.0, 1.5) == 2_000_000
-    assert retry_after.until_room(3.0, 0.0) == float("inf")
+    assert retry_after.time_until_capacity(3.0, 1.5) == 2_000_000
+    assert retry_after.time_until_capacity(3.0, 0.0) == float("inf")
 
 
 # ---- shedding rank ------------------------------------------------------------------------------
