--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -168,7 +168,7 @@
     def own_shedding_levels(self, now: int) -> dict[tuple[int, int], int]:
         """Return this dispatcher's own shedding levels for the agreement with peers."""
         return (
-            self.shared_level.told(self.level.kept_share(self._unqueued_run_time(), now), now)
+            self.shared_level.own_levels(self.level.kept_share(self._unqueued_run_time(), now), now)
             if self.shared_level is not None
             else {}
         )
--- a/carthinge/fleet/shared_shedding.py
+++ b/carthinge/fleet/shared_shedding.py
@@ -35,7 +35,7 @@
         self._offered: dict[Cell, OfferedWork] = {}
         self._jobs, self._jobs_at = 0.0, 0  # recent arrivals, which decay as offered work does
 
-    def told(self, kept: float, now: int) -> dict[Cell, int]:
+    def own_levels(self, kept: float, now: int) -> dict[Cell, int]:
         """What is shed of each cell, in per cent, if the share ``kept`` of all work is kept; the largest cell
         comes first.  Empty if all is kept."""
         cells = {}
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -183,13 +183,13 @@
 
 
 def test_reported_level_follows_rank_order():
-    assert shared().told(1.0, 10**6) == {}
-    assert shared().told(0.75, 10**6) == {HIGH: 0, LOW: 50}
-    assert shared().told(0.4, 10**6) == {HIGH: 20, LOW: 100}
-    assert shared().told(0.4, 100 * 10**6) == {}  # no work for a long time
+    assert shared().own_levels(1.0, 10**6) == {}
+    assert shared().own_levels(0.75, 10**6) == {HIGH: 0, LOW: 50}
+    assert shared().own_levels(0.4, 10**6) == {HIGH: 20, LOW: 100}
+    assert shared().own_levels(0.4, 100 * 10**6) == {}  # no work for a long time
     # What the agreed level sheds is not reported: otherwise a level would sustain itself.
     busy = shared({LOW: 100})
-    assert busy.told(1.0, 10**6) == {} and not busy.sheds(LOW, 0, 1e5, 0, 10**6)
+    assert busy.own_levels(1.0, 10**6) == {} and not busy.sheds(LOW, 0, 1e5, 0, 10**6)
     assert busy.sheds(LOW, 0, 1e5, 0, 60 * 10**6)  # idle since then
 
 
