--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -38,7 +38,7 @@
         )
         if not restarts:  # members know each other from the start, as joining is not measured
             other = f"s{(position + 1) % len(simulation.schedulers)}"
-            member.hear(now, Packet(Kind.BEAT, other, other, 1000, rumors=simulation.rumors))
+            member.handle_packet(now, Packet(Kind.BEAT, other, other, 1000, rumors=simulation.rumors))
             member.voice.rumors.clear()
             member.voice.sent()
         self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
@@ -53,7 +53,7 @@
 
     def receive(self, packet: Packet) -> None:
         if self.scheduler.module is self.module:
-            self._handle_result(self.talk.hear(self.simulation.clock.now * MICROSECOND, packet))
+            self._handle_result(self.talk.handle_packet(self.simulation.clock.now * MICROSECOND, packet))
 
     def schedule_tick(self) -> None:
         due = max(self.simulation.clock.now + 1, -(-self.talk.due() // MICROSECOND))
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -20,7 +20,7 @@
 class Machine(Protocol):
     def due(self) -> timedelta: ...
     def tick(self, now: timedelta) -> list[tuple[str, Packet]]: ...
-    def hear(self, now: timedelta, packet: Packet) -> list[tuple[str, Packet]]: ...
+    def handle_packet(self, now: timedelta, packet: Packet) -> list[tuple[str, Packet]]: ...
 
 
 @dataclass
@@ -113,7 +113,7 @@
         return False
 
     def _deliver(self, name: str, packet: Packet) -> None:
-        self.send(name, self.nodes[name].hear(self.now, packet))
+        self.send(name, self.nodes[name].handle_packet(self.now, packet))
 
     def _schedule(self, name: str) -> None:
         due = max(self.nodes[name].due(), self.now)
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -84,7 +84,7 @@
         self._agenda.run(now)
         return self.voice.sent()
 
-    def hear(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
+    def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
         """Handles a message; returns the messages to send at once."""
         if packet.name == self.name or self.left:
             return []
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -112,9 +112,9 @@
             out = self.membership.voice.sent()
         return out + self.membership.tick(now)
 
-    def hear(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
+    def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
         """Handles a message; returns the messages to send at once."""
-        out = self.membership.hear(now, packet)
+        out = self.membership.handle_packet(now, packet)
         sender = self.membership.members.get(packet.name)
         if sender is None or sender.standing not in LIVE or self.membership.left:
             return out
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -189,7 +189,7 @@
             if packet.name == self.name:
                 self.counts["namesakes"] += 1
             else:
-                packets = self._node.hear(self.loop.clock.now(), packet)
+                packets = self._node.handle_packet(self.loop.clock.now(), packet)
                 self._emit_view()  # before a grant is sent: lent units must not be used here any longer
                 self._send(packets)
         self._update()
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -335,6 +335,6 @@
         member(net, name, ["n0"])
     for number in range(2, 1100):
         rumor = Rumor(f"n{number}", Standing.ALIVE, 1, f"n{number}")
-        net.nodes["n0"].hear(net.now, Packet(Kind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
+        net.nodes["n0"].handle_packet(net.now, Packet(Kind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
     net.run(timedelta(milliseconds=900))
     assert len(net.nodes["n1"].members) >= 1099
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -188,7 +188,7 @@
     )
     node = Talk(Membership("n0", "n0", ["n1"], SECOND, 1000, 1, 0 * SECOND), 7, [1], 1, scheduler, 0 * SECOND)
     for at, packet in enumerate(packets):
-        for _, sent in [*node.tick(at * SECOND / 3), *node.hear(at * SECOND / 3, packet)]:
+        for _, sent in [*node.tick(at * SECOND / 3), *node.handle_packet(at * SECOND / 3, packet)]:
             # Longer addresses only come back to their own sender.
             if len(packet.relay_to.encode()) + len(packet.address.encode()) <= 128:
                 encode(sent, b"key")
