--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -104,12 +104,12 @@
     cut, began = True, net.now
     net.passes = lambda sender, to: not cut or (sender in left) == (to in left)
     while any(
-        1 + len(node.here()) != (len(left) if name in left else size - len(left))
+        1 + len(node.live_members()) != (len(left) if name in left else size - len(left))
         for name, node in net.nodes.items()
     ):
         net.run(SECOND)
     cut, healed = False, net.now
-    while any(1 + len(node.here()) < size for node in net.nodes.values()):
+    while any(1 + len(node.live_members()) < size for node in net.nodes.values()):
         net.run(SECOND / 10)
     return round((healed - began).total_seconds(), 1), round((net.now - healed).total_seconds(), 1)
 
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -64,7 +64,7 @@
         """When ``tick`` has to be called next."""
         return self._agenda.due()
 
-    def here(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """The other members that are alive or suspected."""
         return list(self._live.values())
 
@@ -100,7 +100,7 @@
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
         """Returns the messages that tell all members that this scheduler leaves, and stops."""
         self.left = True
-        for member in self.here():
+        for member in self.live_members():
             self.voice.queue(Kind.LEAVE, member)
         self._agenda.clear()
         self._agenda.at(now + self.period * limits.RETENTION, lambda later: None)
@@ -112,8 +112,8 @@
         """Rejoins after this process was stopped: its failed checks would say nothing about the others."""
         paused, self._last_active = now - self._last_active > limits.MAX_PAUSE * self.period, now
         if paused:
-            self._former = [member.address for member in self.here()]
-            self.news.extend((member.name, Standing.LEFT) for member in self.here())
+            self._former = [member.address for member in self.live_members()]
+            self.news.extend((member.name, Standing.LEFT) for member in self.live_members())
             self.voice.incarnation += 1
             self.voice.rumors.clear()
             for known in (self.members, self._live, self._gone, self._sorted, self._by_address):
@@ -141,7 +141,7 @@
         if page_lost or self._rounds % limits.SYNC_INTERVAL == 0:
             if not (page_lost or self._joining):
                 self._page_start = self._rng.randrange(max(1, len(self.members)))
-            if live := self.here():
+            if live := self.live_members():
                 self._request_page(self._rng.choice(live))
         if self._rounds % limits.CLEANUP_INTERVAL == 0:
             for member in [
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -38,13 +38,13 @@
 
 
 def view(machine):
-    return {machine.name} | {other.name for other in machine.here()}
+    return {machine.name} | {other.name for other in machine.live_members()}
 
 
 def agreed(net):
     running = {name: machine for name, machine in net.nodes.items() if name not in net.stopped}
     return all(view(machine) == set(running) for machine in running.values()) and not any(
-        other.standing is Standing.SUSPECT for machine in running.values() for other in machine.here()
+        other.standing is Standing.SUSPECT for machine in running.values() for other in machine.live_members()
     )
 
 
