--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -47,13 +47,13 @@
         member.handle_packet(timedelta(), Packet(Kind.BEAT, other, other, 1000, rumors=rumors))
         member.voice.rumors.clear()
         member.voice.summary = SUMMARY
-        member.news.clear()
+        member.state_changes.clear()
         net.add(name, member)
     return net
 
 
 def count_deaths(net: Net) -> int:
-    return sum(standing is Standing.DEAD for node in net.nodes.values() for _, standing in node.news)
+    return sum(standing is Standing.DEAD for node in net.nodes.values() for _, standing in node.state_changes)
 
 
 def deaths(size: int, loss: float, victims: int, quiet: int) -> dict[str, Any]:
@@ -68,7 +68,7 @@
         name = f"scheduler-{size - 1 - victim}"
         net.kill(name)
         for node in net.nodes.values():
-            node.news.clear()
+            node.state_changes.clear()
         began, unaware = net.now, set(net.nodes)
         for _ in range(1200):
             net.run(SECOND / 20)
@@ -81,7 +81,7 @@
         false_deaths += sum(
             standing is Standing.DEAD and who != name
             for node in net.nodes.values()
-            for who, standing in node.news
+            for who, standing in node.state_changes
         )
     detection_times.sort()
     p50, p99 = len(detection_times) // 2, min(len(detection_times) - 1, int(0.99 * len(detection_times)))
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -41,7 +41,7 @@
         self._gone: dict[str, Member] = {}  # the members that are dead or have left
         self._sorted: list[Member] = []  # the live members by name; empty: to be sorted again
         self._by_address: dict[str, Member] = {}  # the last known member at each address
-        self.news: list[tuple[str, Standing]] = []  #: cleared by the reader
+        self.state_changes: list[tuple[str, Standing]] = []  #: cleared by the reader
         self.left = False
         self._seeds = [other for other in seeds if other != address]
         self._former: list[str] = []  # addresses of the members known before this process was stopped
@@ -113,7 +113,7 @@
         paused, self._last_active = now - self._last_active > limits.MAX_PAUSE * self.period, now
         if paused:
             self._former = [member.address for member in self.live_members()]
-            self.news.extend((member.name, Standing.LEFT) for member in self.live_members())
+            self.state_changes.extend((member.name, Standing.LEFT) for member in self.live_members())
             self.voice.incarnation += 1
             self.voice.rumors.clear()
             for known in (self.members, self._live, self._gone, self._sorted, self._by_address):
@@ -366,7 +366,7 @@
         self.members[name] = self._live[name] = self._by_address[address] = member
         self._sorted = []
         self.voice.member_count = len(self.members)
-        self.news.append((name, Standing.ALIVE))
+        self.state_changes.append((name, Standing.ALIVE))
         self._add_to_orders(member)
         return member
 
@@ -388,7 +388,7 @@
     def _set_state(self, now: timedelta, member: Member, standing: Standing) -> None:
         if member.standing is not standing:
             member.standing, member.since = standing, now
-            self.news.append((member.name, standing))
+            self.state_changes.append((member.name, standing))
             before, after = (self._gone, self._live) if standing in LIVE else (self._live, self._gone)
             if before.pop(member.name, None) is not None:
                 after[member.name] = member
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -285,7 +285,7 @@
 
     def news(self) -> list[tuple[str, Standing]]:
         """Members whose state has changed since the last call."""
-        news, self.membership.news = self.membership.news, []
+        news, self.membership.state_changes = self.membership.state_changes, []
         return news
 
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -52,7 +52,7 @@
     return {
         (name, other)
         for name, machine in net.nodes.items()
-        for other, standing in machine.news
+        for other, standing in machine.state_changes
         if standing is Standing.DEAD
     }
 
