--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -283,7 +283,7 @@
             "summaries_refused": sum(self.summaries.refused.values()),
         }
 
-    def news(self) -> list[tuple[str, Standing]]:
+    def take_state_changes(self) -> list[tuple[str, Standing]]:
         """Members whose state has changed since the last call."""
         news, self.membership.state_changes = self.membership.state_changes, []
         return news
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -204,7 +204,7 @@
         node = self._node
         if node is None:
             return
-        for name, standing in node.news():
+        for name, standing in node.take_state_changes():
             log.logger().info(STATE_EVENTS[standing], member=name)
         self._emit_view()
         self._set_timer()
