--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -45,8 +45,8 @@
         member = Membership(name, name, [rumors[0].name], SECOND, 1000, seed * 7919 + at, start)
         other = rumors[(at + 1) % size].name
         member.handle_packet(timedelta(), Packet(Kind.BEAT, other, other, 1000, rumors=rumors))
-        member.voice.rumors.clear()
-        member.voice.summary = SUMMARY
+        member.gossip.rumors.clear()
+        member.gossip.summary = SUMMARY
         member.state_changes.clear()
         net.add(name, member)
     return net
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -39,8 +39,8 @@
         if not restarts:  # members know each other from the start, as joining is not measured
             other = f"s{(position + 1) % len(simulation.schedulers)}"
             member.handle_packet(now, Packet(Kind.BEAT, other, other, 1000, rumors=simulation.rumors))
-            member.voice.rumors.clear()
-            member.voice.sent()
+            member.gossip.rumors.clear()
+            member.gossip.sent()
         self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -35,7 +35,7 @@
         """``seeds``: the addresses to contact first; the own one is ignored.  ``incarnation``: higher than in
         the previous run if possible (milliseconds since 1970, for example)."""
         self.name, self.period = name, period
-        self.voice = GossipSender(name, address, incarnation)
+        self.gossip = GossipSender(name, address, incarnation)
         self.members: dict[str, Member] = {}
         self._live: dict[str, Member] = {}  # the members that are alive or suspected
         self._gone: dict[str, Member] = {}  # the members that are dead or have left
@@ -82,7 +82,7 @@
         """Does what is due by now; returns the messages to send."""
         self._detect_pause(now)
         self._agenda.run(now)
-        return self.voice.sent()
+        return self.gossip.sent()
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
         """Handles a message; returns the messages to send at once."""
@@ -95,16 +95,16 @@
             self._apply_rumor(now, rumor)
         if sender is not None:
             self._handle(now, packet, sender)
-        return self.voice.sent()
+        return self.gossip.sent()
 
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
         """Returns the messages that tell all members that this scheduler leaves, and stops."""
         self.left = True
         for member in self.live_members():
-            self.voice.queue(Kind.LEAVE, member)
+            self.gossip.queue(Kind.LEAVE, member)
         self._agenda.clear()
         self._agenda.at(now + self.period * limits.RETENTION, lambda later: None)
-        return self.voice.sent()
+        return self.gossip.sent()
 
     # ---- rounds ------------------------------------------------------------------------------
 
@@ -114,8 +114,8 @@
         if paused:
             self._former = [member.address for member in self.live_members()]
             self.state_changes.extend((member.name, Standing.LEFT) for member in self.live_members())
-            self.voice.incarnation += 1
-            self.voice.rumors.clear()
+            self.gossip.incarnation += 1
+            self.gossip.rumors.clear()
             for known in (self.members, self._live, self._gone, self._sorted, self._by_address):
                 known.clear()
             self._checks.clear()
@@ -135,7 +135,7 @@
             if (member := self._next_member(self._gossip_order)) is None or member.name in sent_to:
                 break
             sent_to.add(member.name)
-            self.voice.queue(Kind.BEAT, member)
+            self.gossip.queue(Kind.BEAT, member)
         self._ping_unreachable()
         page_lost = self._awaiting_page
         if page_lost or self._rounds % limits.SYNC_INTERVAL == 0:
@@ -182,13 +182,13 @@
         if self._live:
             self._former = []
         for address in self._rng.sample(self._former, min(limits.FANOUT, len(self._former))):
-            self.voice.ping_address(address)
+            self.gossip.ping_address(address)
         dead = [member for member in self._gone.values() if member.standing is Standing.DEAD]
         seeds = [address for address in self._seeds if self._live_at(address) is None]
         if dead and (not seeds or self._rng.random() < 0.5):
-            self.voice.queue(Kind.PING, self._rng.choice(dead))
+            self.gossip.queue(Kind.PING, self._rng.choice(dead))
         elif seeds:
-            self.voice.ping_address(self._rng.choice(seeds))
+            self.gossip.ping_address(self._rng.choice(seeds))
 
     def _remove(self, member: Member) -> None:
         del self.members[member.name], self._gone[member.name]
@@ -206,7 +206,7 @@
 
     def _request_page(self, member: Member) -> None:
         self._awaiting_page = True
-        self.voice.queue(Kind.PULL, member, number=self._page_start)
+        self.gossip.queue(Kind.PULL, member, number=self._page_start)
 
     # ---- checks ------------------------------------------------------------------------------
 
@@ -214,20 +214,20 @@
         self._last_number += 1
         number = self._last_number
         self._checks[number] = member
-        self.voice.queue(Kind.PING, member, number=number)
+        self.gossip.queue(Kind.PING, member, number=number)
         self._agenda.at(now + limits.REPEAT_PING_AFTER * self.period, lambda later: self._repeat_ping(number))
         self._agenda.at(now + limits.PING_REQ_AFTER * self.period, lambda later: self._send_ping_reqs(number))
         self._agenda.at(now + limits.CHECK_TIMEOUT * self.period, lambda later: self._time_out(later, number))
 
     def _repeat_ping(self, number: int) -> None:
         if member := self._checks.get(number):
-            self.voice.queue(Kind.PING, member, number=number)
+            self.gossip.queue(Kind.PING, member, number=number)
 
     def _send_ping_reqs(self, number: int) -> None:
         if member := self._checks.get(number):
             others = [other for other in self._live.values() if other is not member]
             for other in self._rng.sample(others, min(limits.PING_REQ_MEMBERS, len(others))):
-                self.voice.queue(Kind.PING_REQ, other, number=number, target=member.address)
+                self.gossip.queue(Kind.PING_REQ, other, number=number, target=member.address)
 
     def _time_out(self, now: timedelta, number: int) -> None:
         member = self._checks.pop(number, None)
@@ -246,7 +246,7 @@
     def _suspect(self, now: timedelta, member: Member) -> None:
         """Suspects a member; it is checked from here if it does not refute that in time."""
         self._set_state(now, member, Standing.SUSPECT)
-        self.voice.announce(member)
+        self.gossip.announce(member)
         incarnation = member.incarnation
         timeout = self._refute_timeout() * self._rng.uniform(0.8, 1.2)
         self._agenda.at(now + timeout, lambda later: self._check_suspect(later, member, incarnation))
@@ -267,13 +267,13 @@
 
     def _refute(self, state: Standing, incarnation: int) -> None:
         """Refutes a state of this scheduler other than alive, or an incarnation of an earlier run."""
-        own = self.voice.incarnation
+        own = self.gossip.incarnation
         if incarnation >= UINT48_LIMIT - 1 or incarnation > max(
             own + limits.MAX_INCREASE, limits.OUTBID_LIMIT
         ):
             return
         if incarnation > own or (state is not Standing.ALIVE and incarnation == own):
-            self.voice.refute(incarnation)
+            self.gossip.refute(incarnation)
 
     def _update_sender(self, now: timedelta, packet: Packet) -> Member | None:
         """Returns the sender, updated; a dead one becomes alive only with a higher incarnation."""
@@ -316,13 +316,13 @@
     def _handle(self, now: timedelta, packet: Packet, sender: Member) -> None:
         kind, number = packet.kind, packet.number
         if kind is Kind.PING:
-            self.voice.queue(Kind.ACK, sender, number=number, relay_to=packet.relay_to)
+            self.gossip.queue(Kind.ACK, sender, number=number, relay_to=packet.relay_to)
         elif kind is Kind.PING_REQ:
             if (member := self._by_address.get(packet.target)) is not None:
-                self.voice.queue(Kind.PING, member, number=number, relay_to=sender.address)
+                self.gossip.queue(Kind.PING, member, number=number, relay_to=sender.address)
         elif kind is Kind.ACK and packet.relay_to:
             if (member := self._live_at(packet.relay_to)) is not None:
-                self.voice.queue(
+                self.gossip.queue(
                     Kind.ACK, member, number=number, target=sender.name, incarnation=sender.incarnation
                 )
         elif kind is Kind.ACK:
@@ -331,7 +331,7 @@
                 self._request_page(sender)
         elif kind is Kind.PULL:
             self._sorted = self._sorted or sorted(self._live.values(), key=lambda member: member.name)
-            self.voice.queue_page(self._sorted, number, sender)
+            self.gossip.queue_page(self._sorted, number, sender)
         elif kind is Kind.PAGE and self._awaiting_page:
             self._awaiting_page = False
             self._joining = self._joining and number > self._page_start  # only while pages advance
@@ -365,7 +365,7 @@
         member = Member(name, address, incarnation, Standing.ALIVE, now)
         self.members[name] = self._live[name] = self._by_address[address] = member
         self._sorted = []
-        self.voice.member_count = len(self.members)
+        self.gossip.member_count = len(self.members)
         self.state_changes.append((name, Standing.ALIVE))
         self._add_to_orders(member)
         return member
@@ -377,13 +377,13 @@
         self._set_state(now, member, Standing.ALIVE)
         if was_gone:
             self._add_to_orders(member)
-        self.voice.announce(member)
+        self.gossip.announce(member)
 
     def _add_to_orders(self, member: Member) -> None:
         """Inserts a member at a random place of the passes in progress."""
         for order in (self._ping_order, self._gossip_order):
             order.insert(self._rng.randrange(len(order) + 1), member.name)
-        self.voice.announce(member)
+        self.gossip.announce(member)
 
     def _set_state(self, now: timedelta, member: Member, standing: Standing) -> None:
         if member.standing is not standing:
@@ -394,4 +394,4 @@
                 after[member.name] = member
                 self._sorted = []
             if standing not in LIVE:
-                self.voice.rumors.drop(member.name)
+                self.gossip.rumors.drop(member.name)
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -85,8 +85,8 @@
         """``run_id``: drawn at random at the start.  ``budgets``: those that may be lent, the same at all."""
         self.membership, self.scheduler, self.period = membership, scheduler, membership.period
         self.summaries = Summaries(layout, self.period)
-        self.ledger = Ledger(membership.name, budgets, self.period, now, membership.voice.incarnation)
-        self.retry_transfer = BudgetTransfer(membership.voice.incarnation)
+        self.ledger = Ledger(membership.name, budgets, self.period, now, membership.gossip.incarnation)
+        self.retry_transfer = BudgetTransfer(membership.gossip.incarnation)
         self.ejections = SharedEjections(membership.name, self.period)
         self.view = View(shares=dict.fromkeys(budgets, 1.0))
         self.rounds = 0
@@ -109,7 +109,7 @@
         if now >= self._next_round and not self.membership.left:
             self._next_round = now + self.period
             self._round(now)
-            out = self.membership.voice.sent()
+            out = self.membership.gossip.sent()
         return out + self.membership.tick(now)
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
@@ -133,12 +133,12 @@
             if units:
                 self.view.shares = self._shares(now)  # lent units must not be used once the grant is sent
                 self.changes += 1
-                self.membership.voice.queue(
+                self.membership.gossip.queue(
                     Kind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
                 )
         elif packet.kind is Kind.GRANT:
             self.ledger.receive(now, packet.name, packet.budget_id, packet.number, packet.units)
-        return out + self.membership.voice.sent()
+        return out + self.membership.gossip.sent()
 
     def passed(self) -> float:
         """The retries received since the last call; below 0: given away."""
@@ -191,12 +191,12 @@
             1 + len(received),
         )
         self.changes += 1
-        self.membership.voice.summary = self._summary(now, facts, suspected)
+        self.membership.gossip.summary = self._summary(now, facts, suspected)
         if any_new:  # own suspicions, at most once a period: reported to all members at once
             for member in members.values():
-                self.membership.voice.queue(Kind.BEAT, member)
+                self.membership.gossip.queue(Kind.BEAT, member)
         for request in self.ledger.ask(now, facts.fill_levels):
-            self.membership.voice.queue(
+            self.membership.gossip.queue(
                 Kind.BUDGET_REQUEST,
                 members[request.lender],
                 request.number,
@@ -205,7 +205,7 @@
             )
         self.retry_transfer.retune(facts.max_retries)
         if retries := self.retry_transfer.ask(facts.retries_left, self.ledger.lenders()):
-            self.membership.voice.queue(
+            self.membership.gossip.queue(
                 Kind.BUDGET_REQUEST,
                 members[retries.lender],
                 retries.number,
@@ -224,7 +224,7 @@
             packet.name, packet.number, units, self.scheduler.repeats(), self.ledger.borrowers()
         ):
             self._transferred -= units
-            self.membership.voice.queue(
+            self.membership.gossip.queue(
                 Kind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
             )
         self.changes += 1
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -164,22 +164,22 @@
     faulty = net.nodes["n4"]
     for _ in range(30):
         net.run(PERIOD)
-        rumors = [Rumor("n2", Standing.SUSPECT, net.nodes["n2"].voice.incarnation)]
+        rumors = [Rumor("n2", Standing.SUSPECT, net.nodes["n2"].gossip.incarnation)]
         for name in ("n0", "n1", "n3"):
-            net.send("n4", [(name, Packet(Kind.BEAT, "n4", "n4", faulty.voice.incarnation, rumors=rumors))])
+            net.send("n4", [(name, Packet(Kind.BEAT, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))])
     net.run(10 * PERIOD)
     assert dead_pairs(net) == set() and agreed(net)
 
 
 def test_stale_update_does_not_revive_member():
     net = fleet(3)
-    stale = [Rumor("n2", Standing.ALIVE, net.nodes["n2"].voice.incarnation, "n2")]
+    stale = [Rumor("n2", Standing.ALIVE, net.nodes["n2"].gossip.incarnation, "n2")]
     net.kill("n2")
     net.run(DETECTION_PERIODS * PERIOD)
     for _ in range(20):
         net.run(PERIOD)
         net.send(
-            "n1", [("n0", Packet(Kind.BEAT, "n1", "n1", net.nodes["n1"].voice.incarnation, rumors=stale))]
+            "n1", [("n0", Packet(Kind.BEAT, "n1", "n1", net.nodes["n1"].gossip.incarnation, rumors=stale))]
         )
         assert "n2" not in view(net.nodes["n0"])
     assert len(dead_pairs(net)) == 2
@@ -270,7 +270,7 @@
         for name in ("n0", "n1"):
             net.send("n2", [(name, Packet(Kind.BEAT, "n2", "n2", 1000, rumors=rumors))])
         net.run(3 * PERIOD)
-    assert agreed(net) and net.nodes["n1"].voice.incarnation < highest
+    assert agreed(net) and net.nodes["n1"].gossip.incarnation < highest
 
 
 # ---- codec --------------------------------------------------------------------------------------
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -126,12 +126,12 @@
         )
         for name in net.nodes:
             for packet in (
-                Packet(Kind.BEAT, "n4", "n4", faulty.membership.voice.incarnation, summary=summary),
+                Packet(Kind.BEAT, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
                 Packet(
                     Kind.GRANT,
                     "n4",
                     "n4",
-                    faulty.membership.voice.incarnation,
+                    faulty.membership.gossip.incarnation,
                     number=step,
                     budget_id=1,
                     units=1 << 20,
