--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -40,7 +40,7 @@
             other = f"s{(position + 1) % len(simulation.schedulers)}"
             member.handle_packet(now, Packet(Kind.BEAT, other, other, 1000, rumors=simulation.rumors))
             member.gossip.rumors.clear()
-            member.gossip.sent()
+            member.gossip.take_queued()
         self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -85,7 +85,7 @@
         self.member_count = 0  #: determines how often an update is sent
         self._queued: list[OutgoingPacket] = []
 
-    def sent(self) -> list[OutgoingPacket]:
+    def take_queued(self) -> list[OutgoingPacket]:
         """Returns and clears the queued messages."""
         queued, self._queued = self._queued, []
         return queued
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -82,7 +82,7 @@
         """Does what is due by now; returns the messages to send."""
         self._detect_pause(now)
         self._agenda.run(now)
-        return self.gossip.sent()
+        return self.gossip.take_queued()
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
         """Handles a message; returns the messages to send at once."""
@@ -95,7 +95,7 @@
             self._apply_rumor(now, rumor)
         if sender is not None:
             self._handle(now, packet, sender)
-        return self.gossip.sent()
+        return self.gossip.take_queued()
 
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
         """Returns the messages that tell all members that this scheduler leaves, and stops."""
@@ -104,7 +104,7 @@
             self.gossip.queue(Kind.LEAVE, member)
         self._agenda.clear()
         self._agenda.at(now + self.period * limits.RETENTION, lambda later: None)
-        return self.gossip.sent()
+        return self.gossip.take_queued()
 
     # ---- rounds ------------------------------------------------------------------------------
 
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -109,7 +109,7 @@
         if now >= self._next_round and not self.membership.left:
             self._next_round = now + self.period
             self._round(now)
-            out = self.membership.gossip.sent()
+            out = self.membership.gossip.take_queued()
         return out + self.membership.tick(now)
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
@@ -138,7 +138,7 @@
                 )
         elif packet.kind is Kind.GRANT:
             self.ledger.receive(now, packet.name, packet.budget_id, packet.number, packet.units)
-        return out + self.membership.gossip.sent()
+        return out + self.membership.gossip.take_queued()
 
     def passed(self) -> float:
         """The retries received since the last call; below 0: given away."""
