--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -22,7 +22,7 @@
 
 from carthinge.fleet.codec import encode  # noqa: E402
 from carthinge.fleet.membership import Membership  # noqa: E402
-from carthinge.fleet.packets import Kind, Packet, Rumor, Standing, Summary  # noqa: E402
+from carthinge.fleet.packets import Kind, MemberState, Packet, Rumor, Summary  # noqa: E402
 from carthinge.fleet.quota_lending import BASE  # noqa: E402
 from carthinge.fleet.talk import Facts, Talk  # noqa: E402
 
@@ -38,7 +38,7 @@
 def fleet(size: int, seed: int, loss: float) -> Net:
     """Create members that know each other from the start, as joining is not measured."""
     net = Net(seed, Rough(loss, 0.01))
-    rumors = [Rumor(f"scheduler-{at}", Standing.ALIVE, 1000, f"scheduler-{at}") for at in range(size)]
+    rumors = [Rumor(f"scheduler-{at}", MemberState.ALIVE, 1000, f"scheduler-{at}") for at in range(size)]
     for at in range(size):
         name = f"scheduler-{at}"
         start = net.rng.random() * SECOND
@@ -53,7 +53,9 @@
 
 
 def count_deaths(net: Net) -> int:
-    return sum(standing is Standing.DEAD for node in net.nodes.values() for _, standing in node.state_changes)
+    return sum(
+        standing is MemberState.DEAD for node in net.nodes.values() for _, standing in node.state_changes
+    )
 
 
 def deaths(size: int, loss: float, victims: int, quiet: int) -> dict[str, Any]:
@@ -73,13 +75,13 @@
         for _ in range(1200):
             net.run(SECOND / 20)
             for other in list(unaware):
-                if net.nodes[other].members[name].standing is Standing.DEAD:
+                if net.nodes[other].members[name].standing is MemberState.DEAD:
                     unaware.discard(other)
                     detection_times.append((net.now - began).total_seconds())
             if not unaware:
                 break
         false_deaths += sum(
-            standing is Standing.DEAD and who != name
+            standing is MemberState.DEAD and who != name
             for node in net.nodes.values()
             for who, standing in node.state_changes
         )
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -9,7 +9,7 @@
 
 from carthinge import interface as io
 from carthinge.fleet.membership import Membership
-from carthinge.fleet.packets import Kind, Packet, Rumor, Standing
+from carthinge.fleet.packets import Kind, MemberState, Packet, Rumor
 from carthinge.fleet.talk import Facts, Talk
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
@@ -83,7 +83,7 @@
         self.period, self.messages = period, 0
         self.endpoints: dict[str, TalkEndpoint] = {}
         names = [f"s{scheduler.position}" for scheduler in self.schedulers]
-        self.rumors = [Rumor(name, Standing.ALIVE, 1000, name) for name in names]
+        self.rumors = [Rumor(name, MemberState.ALIVE, 1000, name) for name in names]
 
     def _start_scheduler(self, scheduler: Any, listed: tuple[io.WorkerEntry, ...], restarts: int = 0) -> None:
         super()._start_scheduler(scheduler, listed, restarts)
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -7,9 +7,9 @@
 from datetime import timedelta
 from typing import Final
 
-from carthinge.fleet.packets import MAX_PAGE_BYTES, MAX_RUMOR_BYTES, Kind, Packet, Rumor, Standing, Summary
+from carthinge.fleet.packets import MAX_PAGE_BYTES, MAX_RUMOR_BYTES, Kind, MemberState, Packet, Rumor, Summary
 
-LIVE: Final = (Standing.ALIVE, Standing.SUSPECT)
+LIVE: Final = (MemberState.ALIVE, MemberState.SUSPECT)
 WITH_SUMMARY: Final = (Kind.PING, Kind.ACK, Kind.BEAT)
 
 OutgoingPacket = tuple[str, Packet]  # with the receiver's address
@@ -22,7 +22,7 @@
     name: str
     address: str
     incarnation: int
-    standing: Standing
+    standing: MemberState
     since: timedelta  #: when it got that state
     failed: int = 0  #: checks in a row
 
@@ -97,7 +97,7 @@
     def refute(self, incarnation: int) -> None:
         """Refutes to all that this scheduler is suspected or dead, with a higher incarnation."""
         self.incarnation = incarnation + 1
-        self.rumors.add(Rumor(self.name, Standing.ALIVE, self.incarnation, self.address))
+        self.rumors.add(Rumor(self.name, MemberState.ALIVE, self.incarnation, self.address))
 
     def queue(
         self,
@@ -156,7 +156,7 @@
         room, position = MAX_PAGE_BYTES, start
         while position < len(members):
             member = members[position]
-            rumor = Rumor(member.name, Standing.ALIVE, member.incarnation, member.address)
+            rumor = Rumor(member.name, MemberState.ALIVE, member.incarnation, member.address)
             room -= rumor.size()
             if room < 0:
                 break
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -16,7 +16,7 @@
 from carthinge.fleet import membership_limits as limits
 from carthinge.fleet.agenda import Agenda
 from carthinge.fleet.gossip import LIVE, GossipSender, Member, OutgoingPacket
-from carthinge.fleet.packets import UINT48_LIMIT, Kind, Packet, Rumor, Standing
+from carthinge.fleet.packets import UINT48_LIMIT, Kind, MemberState, Packet, Rumor
 
 
 class Membership:
@@ -41,7 +41,7 @@
         self._gone: dict[str, Member] = {}  # the members that are dead or have left
         self._sorted: list[Member] = []  # the live members by name; empty: to be sorted again
         self._by_address: dict[str, Member] = {}  # the last known member at each address
-        self.state_changes: list[tuple[str, Standing]] = []  #: cleared by the reader
+        self.state_changes: list[tuple[str, MemberState]] = []  #: cleared by the reader
         self.left = False
         self._seeds = [other for other in seeds if other != address]
         self._former: list[str] = []  # addresses of the members known before this process was stopped
@@ -70,7 +70,7 @@
 
     def counts(self) -> dict[str, int]:
         """The number of members by state; this one is alive."""
-        counts = {standing.name.lower(): 0 for standing in Standing}
+        counts = {standing.name.lower(): 0 for standing in MemberState}
         counts["alive"] = 1
         for member in self.members.values():
             counts[member.standing.name.lower()] += 1
@@ -113,7 +113,7 @@
         paused, self._last_active = now - self._last_active > limits.MAX_PAUSE * self.period, now
         if paused:
             self._former = [member.address for member in self.live_members()]
-            self.state_changes.extend((member.name, Standing.LEFT) for member in self.live_members())
+            self.state_changes.extend((member.name, MemberState.LEFT) for member in self.live_members())
             self.gossip.incarnation += 1
             self.gossip.rumors.clear()
             for known in (self.members, self._live, self._gone, self._sorted, self._by_address):
@@ -183,7 +183,7 @@
             self._former = []
         for address in self._rng.sample(self._former, min(limits.FANOUT, len(self._former))):
             self.gossip.ping_address(address)
-        dead = [member for member in self._gone.values() if member.standing is Standing.DEAD]
+        dead = [member for member in self._gone.values() if member.standing is MemberState.DEAD]
         seeds = [address for address in self._seeds if self._live_at(address) is None]
         if dead and (not seeds or self._rng.random() < 0.5):
             self.gossip.queue(Kind.PING, self._rng.choice(dead))
@@ -235,24 +235,24 @@
             return
         member.failed += 1
         self._net_failed += 1
-        if member.standing is Standing.ALIVE:
+        if member.standing is MemberState.ALIVE:
             self._suspect(now, member)
-        elif member.standing is Standing.SUSPECT:
+        elif member.standing is MemberState.SUSPECT:
             if member.failed >= limits.MAX_FAILED_CHECKS and now - member.since >= self._refute_timeout():
-                self._set_state(now, member, Standing.DEAD)
+                self._set_state(now, member, MemberState.DEAD)
             else:
                 self._check_suspect(now, member, member.incarnation)
 
     def _suspect(self, now: timedelta, member: Member) -> None:
         """Suspects a member; it is checked from here if it does not refute that in time."""
-        self._set_state(now, member, Standing.SUSPECT)
+        self._set_state(now, member, MemberState.SUSPECT)
         self.gossip.announce(member)
         incarnation = member.incarnation
         timeout = self._refute_timeout() * self._rng.uniform(0.8, 1.2)
         self._agenda.at(now + timeout, lambda later: self._check_suspect(later, member, incarnation))
 
     def _check_suspect(self, now: timedelta, member: Member, incarnation: int) -> None:
-        if member.standing is not Standing.SUSPECT or member.incarnation != incarnation:
+        if member.standing is not MemberState.SUSPECT or member.incarnation != incarnation:
             return
         if len(self._checks) >= self._max_checks():
             self._agenda.at(now + self.period / 2, lambda at: self._check_suspect(at, member, incarnation))
@@ -265,14 +265,14 @@
 
     # ---- received messages -------------------------------------------------------------------
 
-    def _refute(self, state: Standing, incarnation: int) -> None:
+    def _refute(self, state: MemberState, incarnation: int) -> None:
         """Refutes a state of this scheduler other than alive, or an incarnation of an earlier run."""
         own = self.gossip.incarnation
         if incarnation >= UINT48_LIMIT - 1 or incarnation > max(
             own + limits.MAX_INCREASE, limits.OUTBID_LIMIT
         ):
             return
-        if incarnation > own or (state is not Standing.ALIVE and incarnation == own):
+        if incarnation > own or (state is not MemberState.ALIVE and incarnation == own):
             self.gossip.refute(incarnation)
 
     def _update_sender(self, now: timedelta, packet: Packet) -> Member | None:
@@ -281,7 +281,7 @@
         if packet.kind is Kind.LEAVE:
             if member is not None and packet.incarnation >= member.incarnation:
                 member.incarnation = packet.incarnation
-                self._set_state(now, member, Standing.LEFT)
+                self._set_state(now, member, MemberState.LEFT)
             return None
         if member is None:
             return self._add(now, packet.name, packet.address, packet.incarnation)
@@ -306,8 +306,8 @@
             self._set_address(member, rumor.address or member.address)
             self._set_alive(now, member, rumor.incarnation)
         if (
-            rumor.standing is Standing.SUSPECT
-            and member.standing is Standing.ALIVE
+            rumor.standing is MemberState.SUSPECT
+            and member.standing is MemberState.ALIVE
             and rumor.incarnation == member.incarnation
         ):
             member.failed = 0  # only checks made here after this count
@@ -352,8 +352,8 @@
         del self._checks[packet.number]
         member.failed = 0
         self._net_failed -= 1
-        if member.standing is Standing.SUSPECT:  # its refutation may still be on the way
-            self._set_state(now, member, Standing.ALIVE)
+        if member.standing is MemberState.SUSPECT:  # its refutation may still be on the way
+            self._set_state(now, member, MemberState.ALIVE)
 
     # ---- states ------------------------------------------------------------------------------
 
@@ -362,11 +362,11 @@
             if not self._gone:
                 return None
             self._remove(min(self._gone.values(), key=lambda member: member.since))
-        member = Member(name, address, incarnation, Standing.ALIVE, now)
+        member = Member(name, address, incarnation, MemberState.ALIVE, now)
         self.members[name] = self._live[name] = self._by_address[address] = member
         self._sorted = []
         self.gossip.member_count = len(self.members)
-        self.state_changes.append((name, Standing.ALIVE))
+        self.state_changes.append((name, MemberState.ALIVE))
         self._add_to_orders(member)
         return member
 
@@ -374,7 +374,7 @@
         """Applies a higher incarnation, which only the member itself can have chosen."""
         member.incarnation, member.failed = incarnation, 0
         was_gone = member.standing not in LIVE
-        self._set_state(now, member, Standing.ALIVE)
+        self._set_state(now, member, MemberState.ALIVE)
         if was_gone:
             self._add_to_orders(member)
         self.gossip.announce(member)
@@ -385,7 +385,7 @@
             order.insert(self._rng.randrange(len(order) + 1), member.name)
         self.gossip.announce(member)
 
-    def _set_state(self, now: timedelta, member: Member, standing: Standing) -> None:
+    def _set_state(self, now: timedelta, member: Member, standing: MemberState) -> None:
         if member.standing is not standing:
             member.standing, member.since = standing, now
             self.state_changes.append((member.name, standing))
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -42,7 +42,7 @@
     GRANT = 8
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """The state of a member as seen by another one."""
 
     ALIVE = 0
@@ -55,7 +55,7 @@
     """A piggybacked update about another member; only ALIVE and SUSPECT are ever sent."""
 
     name: Name
-    standing: Standing
+    standing: MemberState
     incarnation: Uint48
     address: Address = ""  #: empty if the receiver is assumed to know it
 
@@ -90,7 +90,7 @@
     name: Name  #: of the sender
     address: Address
     incarnation: Uint48
-    receiver_state: Standing = Standing.ALIVE  #: of the receiver, as seen by the sender
+    receiver_state: MemberState = MemberState.ALIVE  #: of the receiver, as seen by the sender
     receiver_incarnation: Uint48 = 0  #: for which that state holds
     number: Uint48 = 0
     target: Address = ""  #: PING_REQ: the address to ping; relayed ACK: the name of the member it comes from
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -19,8 +19,8 @@
     MAX_LEVEL,
     MAX_REPORTED_WORKERS,
     Kind,
+    MemberState,
     Packet,
-    Standing,
     Summary,
 )
 from carthinge.fleet.quota_lending import BASE, Ledger
@@ -283,7 +283,7 @@
             "summaries_refused": sum(self.summaries.refused.values()),
         }
 
-    def take_state_changes(self) -> list[tuple[str, Standing]]:
+    def take_state_changes(self) -> list[tuple[str, MemberState]]:
         """Members whose state has changed since the last call."""
         news, self.membership.state_changes = self.membership.state_changes, []
         return news
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -20,7 +20,7 @@
 from carthinge.fleet.codec import BadPacketError, decode, encode
 from carthinge.fleet.gossip import OutgoingPacket
 from carthinge.fleet.membership import Membership
-from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, Standing
+from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, MemberState
 from carthinge.fleet.quota_lending import BASE, LENDABLE
 from carthinge.fleet.summary import layout_digest
 from carthinge.fleet.talk import Facts, Talk
@@ -38,10 +38,10 @@
 RECEIVE_BUFFER_BYTES: Final = 1 << 20  # holds a burst while the loop is busy
 INITIAL_SHARE: Final = 1 - LENDABLE / BASE  # of a quota, until the others are known
 STATE_EVENTS: Final = {
-    Standing.ALIVE: "member_here",
-    Standing.SUSPECT: "member_suspected",
-    Standing.DEAD: "member_dead",
-    Standing.LEFT: "member_left",
+    MemberState.ALIVE: "member_here",
+    MemberState.SUSPECT: "member_suspected",
+    MemberState.DEAD: "member_dead",
+    MemberState.LEFT: "member_left",
 }
 
 
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -14,9 +14,9 @@
     MAX_PACKET_BYTES,
     MAX_REPORTED_WORKERS,
     Kind,
+    MemberState,
     Packet,
     Rumor,
-    Standing,
     Summary,
 )
 from carthinge.fleet.shared_ejections import (
@@ -113,14 +113,14 @@
         [(worker, age)] * MAX_REPORTED_WORKERS,
     )
     rumors, room = [], 500
-    while (room := room - Rumor("n" * 64, Standing.ALIVE, age, "a" * 64).size()) > 0:
-        rumors.append(Rumor("n" * 64, Standing.ALIVE, age, "a" * 64))
+    while (room := room - Rumor("n" * 64, MemberState.ALIVE, age, "a" * 64).size()) > 0:
+        rumors.append(Rumor("n" * 64, MemberState.ALIVE, age, "a" * 64))
     packet = Packet(
         Kind.ACK,
         "n" * 64,
         "a" * 64,
         age,
-        Standing.LEFT,
+        MemberState.LEFT,
         age,
         age,
         "b" * 64,
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -15,7 +15,7 @@
 from carthinge.fleet.codec import BadPacketError, decode, encode
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.membership_limits import MAX_PAUSE, RETENTION
-from carthinge.fleet.packets import MAX_PACKET_BYTES, Kind, Packet, Rumor, Standing
+from carthinge.fleet.packets import MAX_PACKET_BYTES, Kind, MemberState, Packet, Rumor
 
 PERIOD = SECOND
 DETECTION_PERIODS = 25  # at most, for fleets as small as here
@@ -44,7 +44,9 @@
 def agreed(net):
     running = {name: machine for name, machine in net.nodes.items() if name not in net.stopped}
     return all(view(machine) == set(running) for machine in running.values()) and not any(
-        other.standing is Standing.SUSPECT for machine in running.values() for other in machine.live_members()
+        other.standing is MemberState.SUSPECT
+        for machine in running.values()
+        for other in machine.live_members()
     )
 
 
@@ -53,7 +55,7 @@
         (name, other)
         for name, machine in net.nodes.items()
         for other, standing in machine.state_changes
-        if standing is Standing.DEAD
+        if standing is MemberState.DEAD
     }
 
 
@@ -164,7 +166,7 @@
     faulty = net.nodes["n4"]
     for _ in range(30):
         net.run(PERIOD)
-        rumors = [Rumor("n2", Standing.SUSPECT, net.nodes["n2"].gossip.incarnation)]
+        rumors = [Rumor("n2", MemberState.SUSPECT, net.nodes["n2"].gossip.incarnation)]
         for name in ("n0", "n1", "n3"):
             net.send("n4", [(name, Packet(Kind.BEAT, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))])
     net.run(10 * PERIOD)
@@ -173,7 +175,7 @@
 
 def test_stale_update_does_not_revive_member():
     net = fleet(3)
-    stale = [Rumor("n2", Standing.ALIVE, net.nodes["n2"].gossip.incarnation, "n2")]
+    stale = [Rumor("n2", MemberState.ALIVE, net.nodes["n2"].gossip.incarnation, "n2")]
     net.kill("n2")
     net.run(DETECTION_PERIODS * PERIOD)
     for _ in range(20):
@@ -265,7 +267,7 @@
 def test_extreme_incarnation_locks_out_no_member():
     net = fleet(3)
     highest = (1 << 48) - 1
-    rumors = [Rumor("n1", Standing.SUSPECT, highest), Rumor("n1", Standing.ALIVE, highest, "nowhere")]
+    rumors = [Rumor("n1", MemberState.SUSPECT, highest), Rumor("n1", MemberState.ALIVE, highest, "nowhere")]
     for _ in range(10):
         for name in ("n0", "n1"):
             net.send("n2", [(name, Packet(Kind.BEAT, "n2", "n2", 1000, rumors=rumors))])
@@ -275,7 +277,7 @@
 
 # ---- codec --------------------------------------------------------------------------------------
 
-PACKET = Packet(Kind.PING, "n0", "127.0.0.1:9", 7, rumors=[Rumor("n1", Standing.SUSPECT, 3)], number=4)
+PACKET = Packet(Kind.PING, "n0", "127.0.0.1:9", 7, rumors=[Rumor("n1", MemberState.SUSPECT, 3)], number=4)
 
 
 def test_packet_round_trip():
@@ -322,7 +324,7 @@
 def test_packet_size_is_limited():
     with pytest.raises(ValueError, match="bytes"):
         encode(
-            Packet(Kind.BEAT, "n", "a", 1, rumors=[Rumor("n" * 60, Standing.ALIVE, 1, "a" * 60)] * 20), b""
+            Packet(Kind.BEAT, "n", "a", 1, rumors=[Rumor("n" * 60, MemberState.ALIVE, 1, "a" * 60)] * 20), b""
         )
     with pytest.raises(BadPacketError, match="too long"):
         decode(b"c1" + bytes(MAX_PACKET_BYTES), b"")
@@ -334,7 +336,7 @@
     for name in ("n0", "n1"):
         member(net, name, ["n0"])
     for number in range(2, 1100):
-        rumor = Rumor(f"n{number}", Standing.ALIVE, 1, f"n{number}")
+        rumor = Rumor(f"n{number}", MemberState.ALIVE, 1, f"n{number}")
         net.nodes["n0"].handle_packet(net.now, Packet(Kind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
     net.run(timedelta(milliseconds=900))
     assert len(net.nodes["n1"].members) >= 1099
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -12,7 +12,7 @@
 
 from carthinge.fleet.codec import encode
 from carthinge.fleet.membership import Membership
-from carthinge.fleet.packets import UINT48_LIMIT, Kind, Packet, Rumor, Standing, Summary
+from carthinge.fleet.packets import UINT48_LIMIT, Kind, MemberState, Packet, Rumor, Summary
 from carthinge.fleet.talk import Facts, Talk
 
 
@@ -160,14 +160,14 @@
     AGES,
     AGES,
 )
-RUMORS = st.builds(Rumor, NAMES, st.sampled_from(Standing), UINTS48, st.one_of(NAMES, st.just("")))
+RUMORS = st.builds(Rumor, NAMES, st.sampled_from(MemberState), UINTS48, st.one_of(NAMES, st.just("")))
 PACKETS = st.builds(
     Packet,
     st.sampled_from(Kind),
     NAMES,
     NAMES,
     UINTS48,
-    st.sampled_from(Standing),
+    st.sampled_from(MemberState),
     UINTS48,
     UINTS48,
     NAMES,
