--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -53,9 +53,7 @@
 
 
 def count_deaths(net: Net) -> int:
-    return sum(
-        standing is MemberState.DEAD for node in net.nodes.values() for _, standing in node.state_changes
-    )
+    return sum(state is MemberState.DEAD for node in net.nodes.values() for _, state in node.state_changes)
 
 
 def deaths(size: int, loss: float, victims: int, quiet: int) -> dict[str, Any]:
@@ -75,15 +73,15 @@
         for _ in range(1200):
             net.run(SECOND / 20)
             for other in list(unaware):
-                if net.nodes[other].members[name].standing is MemberState.DEAD:
+                if net.nodes[other].members[name].state is MemberState.DEAD:
                     unaware.discard(other)
                     detection_times.append((net.now - began).total_seconds())
             if not unaware:
                 break
         false_deaths += sum(
-            standing is MemberState.DEAD and who != name
+            state is MemberState.DEAD and who != name
             for node in net.nodes.values()
-            for who, standing in node.state_changes
+            for who, state in node.state_changes
         )
     detection_times.sort()
     p50, p99 = len(detection_times) // 2, min(len(detection_times) - 1, int(0.99 * len(detection_times)))
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -22,7 +22,7 @@
     name: str
     address: str
     incarnation: int
-    standing: MemberState
+    state: MemberState
     since: timedelta  #: when it got that state
     failed: int = 0  #: checks in a row
 
@@ -92,7 +92,7 @@
 
     def announce(self, member: Member) -> None:
         """Piggybacks the state of a member on the next messages."""
-        self.rumors.add(Rumor(member.name, member.standing, member.incarnation, member.address))
+        self.rumors.add(Rumor(member.name, member.state, member.incarnation, member.address))
 
     def refute(self, incarnation: int) -> None:
         """Refutes to all that this scheduler is suspected or dead, with a higher incarnation."""
@@ -120,7 +120,7 @@
                     self.name,
                     self.address,
                     self.incarnation,
-                    to.standing,
+                    to.state,
                     to.incarnation,
                     number,
                     target,
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -70,10 +70,10 @@
 
     def counts(self) -> dict[str, int]:
         """The number of members by state; this one is alive."""
-        counts = {standing.name.lower(): 0 for standing in MemberState}
+        counts = {state.name.lower(): 0 for state in MemberState}
         counts["alive"] = 1
         for member in self.members.values():
-            counts[member.standing.name.lower()] += 1
+            counts[member.state.name.lower()] += 1
         return counts
 
     # ---- events ------------------------------------------------------------------------------
@@ -171,7 +171,7 @@
         for _ in range(2):
             while order:
                 member = self.members.get(order.pop())
-                if member is not None and member.standing in LIVE:
+                if member is not None and member.state in LIVE:
                     return member
             order.extend(self._live)
             self._rng.shuffle(order)
@@ -183,7 +183,7 @@
             self._former = []
         for address in self._rng.sample(self._former, min(limits.FANOUT, len(self._former))):
             self.gossip.ping_address(address)
-        dead = [member for member in self._gone.values() if member.standing is MemberState.DEAD]
+        dead = [member for member in self._gone.values() if member.state is MemberState.DEAD]
         seeds = [address for address in self._seeds if self._live_at(address) is None]
         if dead and (not seeds or self._rng.random() < 0.5):
             self.gossip.queue(Kind.PING, self._rng.choice(dead))
@@ -202,7 +202,7 @@
     def _live_at(self, address: str) -> Member | None:
         """The live member at an address."""
         member = self._by_address.get(address)
-        return member if member and member.address == address and member.standing in LIVE else None
+        return member if member and member.address == address and member.state in LIVE else None
 
     def _request_page(self, member: Member) -> None:
         self._awaiting_page = True
@@ -235,9 +235,9 @@
             return
         member.failed += 1
         self._net_failed += 1
-        if member.standing is MemberState.ALIVE:
+        if member.state is MemberState.ALIVE:
             self._suspect(now, member)
-        elif member.standing is MemberState.SUSPECT:
+        elif member.state is MemberState.SUSPECT:
             if member.failed >= limits.MAX_FAILED_CHECKS and now - member.since >= self._refute_timeout():
                 self._set_state(now, member, MemberState.DEAD)
             else:
@@ -252,7 +252,7 @@
         self._agenda.at(now + timeout, lambda later: self._check_suspect(later, member, incarnation))
 
     def _check_suspect(self, now: timedelta, member: Member, incarnation: int) -> None:
-        if member.standing is not MemberState.SUSPECT or member.incarnation != incarnation:
+        if member.state is not MemberState.SUSPECT or member.incarnation != incarnation:
             return
         if len(self._checks) >= self._max_checks():
             self._agenda.at(now + self.period / 2, lambda at: self._check_suspect(at, member, incarnation))
@@ -293,7 +293,7 @@
     def _apply_rumor(self, now: timedelta, rumor: Rumor) -> None:
         """Applies a piggybacked update, which may be stale and never makes a member dead."""
         if rumor.name == self.name:
-            self._refute(rumor.standing, rumor.incarnation)
+            self._refute(rumor.state, rumor.incarnation)
             return
         member = self.members.get(rumor.name)
         if member is None:
@@ -306,8 +306,8 @@
             self._set_address(member, rumor.address or member.address)
             self._set_alive(now, member, rumor.incarnation)
         if (
-            rumor.standing is MemberState.SUSPECT
-            and member.standing is MemberState.ALIVE
+            rumor.state is MemberState.SUSPECT
+            and member.state is MemberState.ALIVE
             and rumor.incarnation == member.incarnation
         ):
             member.failed = 0  # only checks made here after this count
@@ -352,7 +352,7 @@
         del self._checks[packet.number]
         member.failed = 0
         self._net_failed -= 1
-        if member.standing is MemberState.SUSPECT:  # its refutation may still be on the way
+        if member.state is MemberState.SUSPECT:  # its refutation may still be on the way
             self._set_state(now, member, MemberState.ALIVE)
 
     # ---- states ------------------------------------------------------------------------------
@@ -373,7 +373,7 @@
     def _set_alive(self, now: timedelta, member: Member, incarnation: int) -> None:
         """Applies a higher incarnation, which only the member itself can have chosen."""
         member.incarnation, member.failed = incarnation, 0
-        was_gone = member.standing not in LIVE
+        was_gone = member.state not in LIVE
         self._set_state(now, member, MemberState.ALIVE)
         if was_gone:
             self._add_to_orders(member)
@@ -385,13 +385,13 @@
             order.insert(self._rng.randrange(len(order) + 1), member.name)
         self.gossip.announce(member)
 
-    def _set_state(self, now: timedelta, member: Member, standing: MemberState) -> None:
-        if member.standing is not standing:
-            member.standing, member.since = standing, now
-            self.state_changes.append((member.name, standing))
-            before, after = (self._gone, self._live) if standing in LIVE else (self._live, self._gone)
+    def _set_state(self, now: timedelta, member: Member, state: MemberState) -> None:
+        if member.state is not state:
+            member.state, member.since = state, now
+            self.state_changes.append((member.name, state))
+            before, after = (self._gone, self._live) if state in LIVE else (self._live, self._gone)
             if before.pop(member.name, None) is not None:
                 after[member.name] = member
                 self._sorted = []
-            if standing not in LIVE:
+            if state not in LIVE:
                 self.gossip.rumors.drop(member.name)
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -55,7 +55,7 @@
     """A piggybacked update about another member; only ALIVE and SUSPECT are ever sent."""
 
     name: Name
-    standing: MemberState
+    state: MemberState
     incarnation: Uint48
     address: Address = ""  #: empty if the receiver is assumed to know it
 
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -116,7 +116,7 @@
         """Handles a message; returns the messages to send at once."""
         out = self.membership.handle_packet(now, packet)
         sender = self.membership.members.get(packet.name)
-        if sender is None or sender.standing not in LIVE or self.membership.left:
+        if sender is None or sender.state not in LIVE or self.membership.left:
             return out
         if packet.summary is not None:
             self.summaries.accept(now, packet.name, packet.summary)
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -204,8 +204,8 @@
         node = self._node
         if node is None:
             return
-        for name, standing in node.take_state_changes():
-            log.logger().info(STATE_EVENTS[standing], member=name)
+        for name, state in node.take_state_changes():
+            log.logger().info(STATE_EVENTS[state], member=name)
         self._emit_view()
         self._set_timer()
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -44,9 +44,7 @@
 def agreed(net):
     running = {name: machine for name, machine in net.nodes.items() if name not in net.stopped}
     return all(view(machine) == set(running) for machine in running.values()) and not any(
-        other.standing is MemberState.SUSPECT
-        for machine in running.values()
-        for other in machine.live_members()
+        other.state is MemberState.SUSPECT for machine in running.values() for other in machine.live_members()
     )
 
 
@@ -54,8 +52,8 @@
     return {
         (name, other)
         for name, machine in net.nodes.items()
-        for other, standing in machine.state_changes
-        if standing is MemberState.DEAD
+        for other, state in machine.state_changes
+        if state is MemberState.DEAD
     }
 
 
