--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -22,7 +22,7 @@
 
 from carthinge.fleet.codec import encode  # noqa: E402
 from carthinge.fleet.membership import Membership  # noqa: E402
-from carthinge.fleet.packets import Kind, MemberState, Packet, Rumor, Summary  # noqa: E402
+from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor, Summary  # noqa: E402
 from carthinge.fleet.quota_lending import BASE  # noqa: E402
 from carthinge.fleet.talk import Facts, Talk  # noqa: E402
 
@@ -44,7 +44,7 @@
         start = net.rng.random() * SECOND
         member = Membership(name, name, [rumors[0].name], SECOND, 1000, seed * 7919 + at, start)
         other = rumors[(at + 1) % size].name
-        member.handle_packet(timedelta(), Packet(Kind.BEAT, other, other, 1000, rumors=rumors))
+        member.handle_packet(timedelta(), Packet(PacketKind.BEAT, other, other, 1000, rumors=rumors))
         member.gossip.rumors.clear()
         member.gossip.summary = SUMMARY
         member.state_changes.clear()
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -7,10 +7,18 @@
 from datetime import timedelta
 from typing import Final
 
-from carthinge.fleet.packets import MAX_PAGE_BYTES, MAX_RUMOR_BYTES, Kind, MemberState, Packet, Rumor, Summary
+from carthinge.fleet.packets import (
+    MAX_PAGE_BYTES,
+    MAX_RUMOR_BYTES,
+    MemberState,
+    Packet,
+    PacketKind,
+    Rumor,
+    Summary,
+)
 
 LIVE: Final = (MemberState.ALIVE, MemberState.SUSPECT)
-WITH_SUMMARY: Final = (Kind.PING, Kind.ACK, Kind.BEAT)
+WITH_SUMMARY: Final = (PacketKind.PING, PacketKind.ACK, PacketKind.BEAT)
 
 OutgoingPacket = tuple[str, Packet]  # with the receiver's address
 
@@ -101,7 +109,7 @@
 
     def queue(
         self,
-        kind: Kind,
+        kind: PacketKind,
         to: Member,
         number: int = 0,
         target: str = "",
@@ -140,7 +148,7 @@
             (
                 address,
                 Packet(
-                    Kind.PING,
+                    PacketKind.PING,
                     self.name,
                     self.address,
                     self.incarnation,
@@ -162,4 +170,6 @@
                 break
             page.append(rumor)
             position += 1
-        self.queue(Kind.PAGE, to, number=position if page and position < len(members) else 0, rumors=page)
+        self.queue(
+            PacketKind.PAGE, to, number=position if page and position < len(members) else 0, rumors=page
+        )
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -16,7 +16,7 @@
 from carthinge.fleet import membership_limits as limits
 from carthinge.fleet.agenda import Agenda
 from carthinge.fleet.gossip import LIVE, GossipSender, Member, OutgoingPacket
-from carthinge.fleet.packets import UINT48_LIMIT, Kind, MemberState, Packet, Rumor
+from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor
 
 
 class Membership:
@@ -101,7 +101,7 @@
         """Returns the messages that tell all members that this scheduler leaves, and stops."""
         self.left = True
         for member in self.live_members():
-            self.gossip.queue(Kind.LEAVE, member)
+            self.gossip.queue(PacketKind.LEAVE, member)
         self._agenda.clear()
         self._agenda.at(now + self.period * limits.RETENTION, lambda later: None)
         return self.gossip.take_queued()
@@ -135,7 +135,7 @@
             if (member := self._next_member(self._gossip_order)) is None or member.name in sent_to:
                 break
             sent_to.add(member.name)
-            self.gossip.queue(Kind.BEAT, member)
+            self.gossip.queue(PacketKind.BEAT, member)
         self._ping_unreachable()
         page_lost = self._awaiting_page
         if page_lost or self._rounds % limits.SYNC_INTERVAL == 0:
@@ -186,7 +186,7 @@
         dead = [member for member in self._gone.values() if member.state is MemberState.DEAD]
         seeds = [address for address in self._seeds if self._live_at(address) is None]
         if dead and (not seeds or self._rng.random() < 0.5):
-            self.gossip.queue(Kind.PING, self._rng.choice(dead))
+            self.gossip.queue(PacketKind.PING, self._rng.choice(dead))
         elif seeds:
             self.gossip.ping_address(self._rng.choice(seeds))
 
@@ -206,7 +206,7 @@
 
     def _request_page(self, member: Member) -> None:
         self._awaiting_page = True
-        self.gossip.queue(Kind.PULL, member, number=self._page_start)
+        self.gossip.queue(PacketKind.PULL, member, number=self._page_start)
 
     # ---- checks ------------------------------------------------------------------------------
 
@@ -214,20 +214,20 @@
         self._last_number += 1
         number = self._last_number
         self._checks[number] = member
-        self.gossip.queue(Kind.PING, member, number=number)
+        self.gossip.queue(PacketKind.PING, member, number=number)
         self._agenda.at(now + limits.REPEAT_PING_AFTER * self.period, lambda later: self._repeat_ping(number))
         self._agenda.at(now + limits.PING_REQ_AFTER * self.period, lambda later: self._send_ping_reqs(number))
         self._agenda.at(now + limits.CHECK_TIMEOUT * self.period, lambda later: self._time_out(later, number))
 
     def _repeat_ping(self, number: int) -> None:
         if member := self._checks.get(number):
-            self.gossip.queue(Kind.PING, member, number=number)
+            self.gossip.queue(PacketKind.PING, member, number=number)
 
     def _send_ping_reqs(self, number: int) -> None:
         if member := self._checks.get(number):
             others = [other for other in self._live.values() if other is not member]
             for other in self._rng.sample(others, min(limits.PING_REQ_MEMBERS, len(others))):
-                self.gossip.queue(Kind.PING_REQ, other, number=number, target=member.address)
+                self.gossip.queue(PacketKind.PING_REQ, other, number=number, target=member.address)
 
     def _time_out(self, now: timedelta, number: int) -> None:
         member = self._checks.pop(number, None)
@@ -278,7 +278,7 @@
     def _update_sender(self, now: timedelta, packet: Packet) -> Member | None:
         """Returns the sender, updated; a dead one becomes alive only with a higher incarnation."""
         member = self.members.get(packet.name)
-        if packet.kind is Kind.LEAVE:
+        if packet.kind is PacketKind.LEAVE:
             if member is not None and packet.incarnation >= member.incarnation:
                 member.incarnation = packet.incarnation
                 self._set_state(now, member, MemberState.LEFT)
@@ -315,24 +315,24 @@
 
     def _handle(self, now: timedelta, packet: Packet, sender: Member) -> None:
         kind, number = packet.kind, packet.number
-        if kind is Kind.PING:
-            self.gossip.queue(Kind.ACK, sender, number=number, relay_to=packet.relay_to)
-        elif kind is Kind.PING_REQ:
+        if kind is PacketKind.PING:
+            self.gossip.queue(PacketKind.ACK, sender, number=number, relay_to=packet.relay_to)
+        elif kind is PacketKind.PING_REQ:
             if (member := self._by_address.get(packet.target)) is not None:
-                self.gossip.queue(Kind.PING, member, number=number, relay_to=sender.address)
-        elif kind is Kind.ACK and packet.relay_to:
+                self.gossip.queue(PacketKind.PING, member, number=number, relay_to=sender.address)
+        elif kind is PacketKind.ACK and packet.relay_to:
             if (member := self._live_at(packet.relay_to)) is not None:
                 self.gossip.queue(
-                    Kind.ACK, member, number=number, target=sender.name, incarnation=sender.incarnation
+                    PacketKind.ACK, member, number=number, target=sender.name, incarnation=sender.incarnation
                 )
-        elif kind is Kind.ACK:
+        elif kind is PacketKind.ACK:
             self._handle_ack(now, packet, sender)
             if self._joining and not self._awaiting_page:  # the first answer after the start
                 self._request_page(sender)
-        elif kind is Kind.PULL:
+        elif kind is PacketKind.PULL:
             self._sorted = self._sorted or sorted(self._live.values(), key=lambda member: member.name)
             self.gossip.queue_page(self._sorted, number, sender)
-        elif kind is Kind.PAGE and self._awaiting_page:
+        elif kind is PacketKind.PAGE and self._awaiting_page:
             self._awaiting_page = False
             self._joining = self._joining and number > self._page_start  # only while pages advance
             self._page_start = number if self._joining else 0
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -28,7 +28,7 @@
 Units = Annotated[int, msgspec.Meta(ge=0, le=MAX_UNITS)]
 
 
-class Kind(IntEnum):
+class PacketKind(IntEnum):
     """The type of a message."""
 
     PING = 0  #: requests an ACK with the same number
@@ -86,7 +86,7 @@
 class Packet(msgspec.Struct, array_like=True, frozen=True):
     """A message."""
 
-    kind: Kind
+    kind: PacketKind
     name: Name  #: of the sender
     address: Address
     incarnation: Uint48
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -18,9 +18,9 @@
     MAX_CELLS,
     MAX_LEVEL,
     MAX_REPORTED_WORKERS,
-    Kind,
     MemberState,
     Packet,
+    PacketKind,
     Summary,
 )
 from carthinge.fleet.quota_lending import BASE, Ledger
@@ -121,11 +121,11 @@
         if packet.summary is not None:
             self.summaries.accept(now, packet.name, packet.summary)
         if (
-            packet.kind in (Kind.BUDGET_REQUEST, Kind.GRANT)
+            packet.kind in (PacketKind.BUDGET_REQUEST, PacketKind.GRANT)
             and packet.budget_id == self.retry_transfer.budget
         ):
             self._transfer_retries(packet, sender)
-        elif packet.kind is Kind.BUDGET_REQUEST:
+        elif packet.kind is PacketKind.BUDGET_REQUEST:
             self.ledger.meet([member.name for member in self.membership.live_members()])
             units = self.ledger.grant(
                 now, packet.name, packet.budget_id, packet.number, packet.units, self._fill_levels
@@ -134,9 +134,9 @@
                 self.view.shares = self._shares(now)  # lent units must not be used once the grant is sent
                 self.changes += 1
                 self.membership.gossip.queue(
-                    Kind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
+                    PacketKind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
                 )
-        elif packet.kind is Kind.GRANT:
+        elif packet.kind is PacketKind.GRANT:
             self.ledger.receive(now, packet.name, packet.budget_id, packet.number, packet.units)
         return out + self.membership.gossip.take_queued()
 
@@ -194,10 +194,10 @@
         self.membership.gossip.summary = self._summary(now, facts, suspected)
         if any_new:  # own suspicions, at most once a period: reported to all members at once
             for member in members.values():
-                self.membership.gossip.queue(Kind.BEAT, member)
+                self.membership.gossip.queue(PacketKind.BEAT, member)
         for request in self.ledger.ask(now, facts.fill_levels):
             self.membership.gossip.queue(
-                Kind.BUDGET_REQUEST,
+                PacketKind.BUDGET_REQUEST,
                 members[request.lender],
                 request.number,
                 budget_id=request.budget,
@@ -206,7 +206,7 @@
         self.retry_transfer.retune(facts.max_retries)
         if retries := self.retry_transfer.ask(facts.retries_left, self.ledger.lenders()):
             self.membership.gossip.queue(
-                Kind.BUDGET_REQUEST,
+                PacketKind.BUDGET_REQUEST,
                 members[retries.lender],
                 retries.number,
                 budget_id=retries.budget,
@@ -218,14 +218,14 @@
     def _transfer_retries(self, packet: Packet, sender: Member) -> None:
         """Handles a request for retry budget, or a grant."""
         transfer, units = self.retry_transfer, packet.units
-        if packet.kind is Kind.GRANT:
+        if packet.kind is PacketKind.GRANT:
             self._transferred += transfer.receive(packet.name, packet.number, units)
         elif units := transfer.grant(
             packet.name, packet.number, units, self.scheduler.repeats(), self.ledger.borrowers()
         ):
             self._transferred -= units
             self.membership.gossip.queue(
-                Kind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
+                PacketKind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
             )
         self.changes += 1
 
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -13,9 +13,9 @@
     MAX_CELLS,
     MAX_PACKET_BYTES,
     MAX_REPORTED_WORKERS,
-    Kind,
     MemberState,
     Packet,
+    PacketKind,
     Rumor,
     Summary,
 )
@@ -116,7 +116,7 @@
     while (room := room - Rumor("n" * 64, MemberState.ALIVE, age, "a" * 64).size()) > 0:
         rumors.append(Rumor("n" * 64, MemberState.ALIVE, age, "a" * 64))
     packet = Packet(
-        Kind.ACK,
+        PacketKind.ACK,
         "n" * 64,
         "a" * 64,
         age,
@@ -133,7 +133,7 @@
     )
     assert len(encode(packet, b"key")) <= MAX_PACKET_BYTES
     too_large = Packet(
-        Kind.BEAT, "n", "a", 1, summary=summary(suspected=[(1, 1)] * (MAX_REPORTED_WORKERS + 1))
+        PacketKind.BEAT, "n", "a", 1, summary=summary(suspected=[(1, 1)] * (MAX_REPORTED_WORKERS + 1))
     )
     with pytest.raises(BadPacketError):
         decode(encode(too_large, b""), b"")
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -165,9 +165,9 @@
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
     ):
         from carthinge.fleet.codec import encode
-        from carthinge.fleet.packets import Kind, Packet
+        from carthinge.fleet.packets import Packet, PacketKind
 
-        unauthenticated = encode(Packet(Kind.PING, "stranger", f"{HOST}:9", 1), b"")
+        unauthenticated = encode(Packet(PacketKind.PING, "stranger", f"{HOST}:9", 1), b"")
         for data in (b"", b"\0" * 5000, b"c1" + b"\xff" * 40, unauthenticated, bytes(16) + unauthenticated):
             stranger.sendto(data, relay.homes[0])
         until = time.monotonic() + WAIT
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -15,7 +15,7 @@
 from carthinge.fleet.codec import BadPacketError, decode, encode
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.membership_limits import MAX_PAUSE, RETENTION
-from carthinge.fleet.packets import MAX_PACKET_BYTES, Kind, MemberState, Packet, Rumor
+from carthinge.fleet.packets import MAX_PACKET_BYTES, MemberState, Packet, PacketKind, Rumor
 
 PERIOD = SECOND
 DETECTION_PERIODS = 25  # at most, for fleets as small as here
@@ -166,7 +166,9 @@
         net.run(PERIOD)
         rumors = [Rumor("n2", MemberState.SUSPECT, net.nodes["n2"].gossip.incarnation)]
         for name in ("n0", "n1", "n3"):
-            net.send("n4", [(name, Packet(Kind.BEAT, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))])
+            net.send(
+                "n4", [(name, Packet(PacketKind.BEAT, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))]
+            )
     net.run(10 * PERIOD)
     assert dead_pairs(net) == set() and agreed(net)
 
@@ -179,7 +181,8 @@
     for _ in range(20):
         net.run(PERIOD)
         net.send(
-            "n1", [("n0", Packet(Kind.BEAT, "n1", "n1", net.nodes["n1"].gossip.incarnation, rumors=stale))]
+            "n1",
+            [("n0", Packet(PacketKind.BEAT, "n1", "n1", net.nodes["n1"].gossip.incarnation, rumors=stale))],
         )
         assert "n2" not in view(net.nodes["n0"])
     assert len(dead_pairs(net)) == 2
@@ -268,14 +271,16 @@
     rumors = [Rumor("n1", MemberState.SUSPECT, highest), Rumor("n1", MemberState.ALIVE, highest, "nowhere")]
     for _ in range(10):
         for name in ("n0", "n1"):
-            net.send("n2", [(name, Packet(Kind.BEAT, "n2", "n2", 1000, rumors=rumors))])
+            net.send("n2", [(name, Packet(PacketKind.BEAT, "n2", "n2", 1000, rumors=rumors))])
         net.run(3 * PERIOD)
     assert agreed(net) and net.nodes["n1"].gossip.incarnation < highest
 
 
 # ---- codec --------------------------------------------------------------------------------------
 
-PACKET = Packet(Kind.PING, "n0", "127.0.0.1:9", 7, rumors=[Rumor("n1", MemberState.SUSPECT, 3)], number=4)
+PACKET = Packet(
+    PacketKind.PING, "n0", "127.0.0.1:9", 7, rumors=[Rumor("n1", MemberState.SUSPECT, 3)], number=4
+)
 
 
 def test_packet_round_trip():
@@ -304,14 +309,14 @@
 @pytest.mark.parametrize(
     "packet",
     [
-        Packet(Kind.PING, "", "a", 1),
-        Packet(Kind.PING, "n" * 65, "a", 1),
-        Packet(Kind.PING, "n", "a", -1),
-        Packet(Kind.PING, "n", "a", 1 << 48),
-        Packet(Kind.PING, "n", "a" * 65, 1),
+        Packet(PacketKind.PING, "", "a", 1),
+        Packet(PacketKind.PING, "n" * 65, "a", 1),
+        Packet(PacketKind.PING, "n", "a", -1),
+        Packet(PacketKind.PING, "n", "a", 1 << 48),
+        Packet(PacketKind.PING, "n", "a" * 65, 1),
         Packet(99, "n", "a", 1),
-        Packet(Kind.BUDGET_REQUEST, "n", "a", 1, units=-1),
-        Packet(Kind.BEAT, "n", "a", 1, rumors=[PACKET.rumors[0]] * 129),
+        Packet(PacketKind.BUDGET_REQUEST, "n", "a", 1, units=-1),
+        Packet(PacketKind.BEAT, "n", "a", 1, rumors=[PACKET.rumors[0]] * 129),
     ],
 )
 def test_out_of_range_values_are_rejected(packet):
@@ -322,7 +327,10 @@
 def test_packet_size_is_limited():
     with pytest.raises(ValueError, match="bytes"):
         encode(
-            Packet(Kind.BEAT, "n", "a", 1, rumors=[Rumor("n" * 60, MemberState.ALIVE, 1, "a" * 60)] * 20), b""
+            Packet(
+                PacketKind.BEAT, "n", "a", 1, rumors=[Rumor("n" * 60, MemberState.ALIVE, 1, "a" * 60)] * 20
+            ),
+            b"",
         )
     with pytest.raises(BadPacketError, match="too long"):
         decode(b"c1" + bytes(MAX_PACKET_BYTES), b"")
@@ -335,6 +343,6 @@
         member(net, name, ["n0"])
     for number in range(2, 1100):
         rumor = Rumor(f"n{number}", MemberState.ALIVE, 1, f"n{number}")
-        net.nodes["n0"].handle_packet(net.now, Packet(Kind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
+        net.nodes["n0"].handle_packet(net.now, Packet(PacketKind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
     net.run(timedelta(milliseconds=900))
     assert len(net.nodes["n1"].members) >= 1099
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -12,7 +12,7 @@
 
 from carthinge.fleet.codec import encode
 from carthinge.fleet.membership import Membership
-from carthinge.fleet.packets import UINT48_LIMIT, Kind, MemberState, Packet, Rumor, Summary
+from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor, Summary
 from carthinge.fleet.talk import Facts, Talk
 
 
@@ -126,9 +126,9 @@
         )
         for name in net.nodes:
             for packet in (
-                Packet(Kind.BEAT, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
+                Packet(PacketKind.BEAT, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
                 Packet(
-                    Kind.GRANT,
+                    PacketKind.GRANT,
                     "n4",
                     "n4",
                     faulty.membership.gossip.incarnation,
@@ -163,7 +163,7 @@
 RUMORS = st.builds(Rumor, NAMES, st.sampled_from(MemberState), UINTS48, st.one_of(NAMES, st.just("")))
 PACKETS = st.builds(
     Packet,
-    st.sampled_from(Kind),
+    st.sampled_from(PacketKind),
     NAMES,
     NAMES,
     UINTS48,
