--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -44,7 +44,7 @@
         start = net.rng.random() * SECOND
         member = Membership(name, name, [rumors[0].name], SECOND, 1000, seed * 7919 + at, start)
         other = rumors[(at + 1) % size].name
-        member.handle_packet(timedelta(), Packet(PacketKind.BEAT, other, other, 1000, rumors=rumors))
+        member.handle_packet(timedelta(), Packet(PacketKind.GOSSIP, other, other, 1000, rumors=rumors))
         member.gossip.rumors.clear()
         member.gossip.summary = SUMMARY
         member.state_changes.clear()
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -38,7 +38,7 @@
         )
         if not restarts:  # members know each other from the start, as joining is not measured
             other = f"s{(position + 1) % len(simulation.schedulers)}"
-            member.handle_packet(now, Packet(PacketKind.BEAT, other, other, 1000, rumors=simulation.rumors))
+            member.handle_packet(now, Packet(PacketKind.GOSSIP, other, other, 1000, rumors=simulation.rumors))
             member.gossip.rumors.clear()
             member.gossip.take_queued()
         self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -18,7 +18,7 @@
 )
 
 LIVE: Final = (MemberState.ALIVE, MemberState.SUSPECT)
-WITH_SUMMARY: Final = (PacketKind.PING, PacketKind.ACK, PacketKind.BEAT)
+WITH_SUMMARY: Final = (PacketKind.PING, PacketKind.ACK, PacketKind.GOSSIP)
 
 OutgoingPacket = tuple[str, Packet]  # with the receiver's address
 
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -135,7 +135,7 @@
             if (member := self._next_member(self._gossip_order)) is None or member.name in sent_to:
                 break
             sent_to.add(member.name)
-            self.gossip.queue(PacketKind.BEAT, member)
+            self.gossip.queue(PacketKind.GOSSIP, member)
         self._ping_unreachable()
         page_lost = self._awaiting_page
         if page_lost or self._rounds % limits.SYNC_INTERVAL == 0:
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -34,7 +34,7 @@
     PING = 0  #: requests an ACK with the same number
     ACK = 1
     PING_REQ = 2  #: requests that the receiver ping another member and relay its ACK
-    BEAT = 3  #: carries state only; no reply
+    GOSSIP = 3  #: carries state only; no reply
     PULL = 4  #: requests a PAGE of the member list from a position on
     PAGE = 5
     LEAVE = 6  #: the sender is shutting down
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -194,7 +194,7 @@
         self.membership.gossip.summary = self._summary(now, facts, suspected)
         if any_new:  # own suspicions, at most once a period: reported to all members at once
             for member in members.values():
-                self.membership.gossip.queue(PacketKind.BEAT, member)
+                self.membership.gossip.queue(PacketKind.GOSSIP, member)
         for request in self.ledger.ask(now, facts.fill_levels):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -133,7 +133,7 @@
     )
     assert len(encode(packet, b"key")) <= MAX_PACKET_BYTES
     too_large = Packet(
-        PacketKind.BEAT, "n", "a", 1, summary=summary(suspected=[(1, 1)] * (MAX_REPORTED_WORKERS + 1))
+        PacketKind.GOSSIP, "n", "a", 1, summary=summary(suspected=[(1, 1)] * (MAX_REPORTED_WORKERS + 1))
     )
     with pytest.raises(BadPacketError):
         decode(encode(too_large, b""), b"")
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -167,7 +167,8 @@
         rumors = [Rumor("n2", MemberState.SUSPECT, net.nodes["n2"].gossip.incarnation)]
         for name in ("n0", "n1", "n3"):
             net.send(
-                "n4", [(name, Packet(PacketKind.BEAT, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))]
+                "n4",
+                [(name, Packet(PacketKind.GOSSIP, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))],
             )
     net.run(10 * PERIOD)
     assert dead_pairs(net) == set() and agreed(net)
@@ -182,7 +183,7 @@
         net.run(PERIOD)
         net.send(
             "n1",
-            [("n0", Packet(PacketKind.BEAT, "n1", "n1", net.nodes["n1"].gossip.incarnation, rumors=stale))],
+            [("n0", Packet(PacketKind.GOSSIP, "n1", "n1", net.nodes["n1"].gossip.incarnation, rumors=stale))],
         )
         assert "n2" not in view(net.nodes["n0"])
     assert len(dead_pairs(net)) == 2
@@ -271,7 +272,7 @@
     rumors = [Rumor("n1", MemberState.SUSPECT, highest), Rumor("n1", MemberState.ALIVE, highest, "nowhere")]
     for _ in range(10):
         for name in ("n0", "n1"):
-            net.send("n2", [(name, Packet(PacketKind.BEAT, "n2", "n2", 1000, rumors=rumors))])
+            net.send("n2", [(name, Packet(PacketKind.GOSSIP, "n2", "n2", 1000, rumors=rumors))])
         net.run(3 * PERIOD)
     assert agreed(net) and net.nodes["n1"].gossip.incarnation < highest
 
@@ -316,7 +317,7 @@
         Packet(PacketKind.PING, "n", "a" * 65, 1),
         Packet(99, "n", "a", 1),
         Packet(PacketKind.BUDGET_REQUEST, "n", "a", 1, units=-1),
-        Packet(PacketKind.BEAT, "n", "a", 1, rumors=[PACKET.rumors[0]] * 129),
+        Packet(PacketKind.GOSSIP, "n", "a", 1, rumors=[PACKET.rumors[0]] * 129),
     ],
 )
 def test_out_of_range_values_are_rejected(packet):
@@ -328,7 +329,7 @@
     with pytest.raises(ValueError, match="bytes"):
         encode(
             Packet(
-                PacketKind.BEAT, "n", "a", 1, rumors=[Rumor("n" * 60, MemberState.ALIVE, 1, "a" * 60)] * 20
+                PacketKind.GOSSIP, "n", "a", 1, rumors=[Rumor("n" * 60, MemberState.ALIVE, 1, "a" * 60)] * 20
             ),
             b"",
         )
@@ -343,6 +344,6 @@
         member(net, name, ["n0"])
     for number in range(2, 1100):
         rumor = Rumor(f"n{number}", MemberState.ALIVE, 1, f"n{number}")
-        net.nodes["n0"].handle_packet(net.now, Packet(PacketKind.BEAT, "n1", "n1", 1000, rumors=[rumor]))
+        net.nodes["n0"].handle_packet(net.now, Packet(PacketKind.GOSSIP, "n1", "n1", 1000, rumors=[rumor]))
     net.run(timedelta(milliseconds=900))
     assert len(net.nodes["n1"].members) >= 1099
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -126,7 +126,7 @@
         )
         for name in net.nodes:
             for packet in (
-                Packet(PacketKind.BEAT, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
+                Packet(PacketKind.GOSSIP, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
                 Packet(
                     PacketKind.GRANT,
                     "n4",
