--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -90,7 +90,7 @@
     def period(self, left: dict[str, float]) -> None:
         self.time += PERIOD
         for name, ledger in self.ledgers.items():
-            ledger.meet([other for other in self.side(name) if other != name])
+            ledger.set_members([other for other in self.side(name) if other != name])
             for asking in ledger.ask(self.now(name), {0: left[name]}):
                 self.send("ask", name, asking.lender, asking.number, asking.units)
         for _ in range(3):
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -96,7 +96,7 @@
         self._ring: list[str] = []
         self._members: frozenset[str] = frozenset()
 
-    def meet(self, here: Collection[str]) -> None:
+    def set_members(self, here: Collection[str]) -> None:
         """Sets the live members, without this one."""
         members = frozenset(here)
         if members != self._members:
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -126,7 +126,7 @@
         ):
             self._transfer_retries(packet, sender)
         elif packet.kind is PacketKind.BUDGET_REQUEST:
-            self.ledger.meet([member.name for member in self.membership.live_members()])
+            self.ledger.set_members([member.name for member in self.membership.live_members()])
             units = self.ledger.grant(
                 now, packet.name, packet.budget_id, packet.number, packet.units, self._fill_levels
             )
@@ -166,7 +166,7 @@
     def _round(self, now: timedelta) -> None:
         self.rounds += 1
         members = {member.name: member for member in self.membership.live_members()}
-        self.ledger.meet(members.keys())
+        self.ledger.set_members(members.keys())
         facts = self.scheduler.look(self._observed_workers)
         self._fill_levels = facts.fill_levels
         any_new = self._update_suspected(now, facts.failures)
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -72,7 +72,7 @@
     ledgers = {name: Ledger(name, [0], PERIOD, timedelta(), 1) for name in names}
     now = SPAN * 2 * PERIOD
     for name, ledger in ledgers.items():
-        ledger.meet([other for other in names if other != name])
+        ledger.set_members([other for other in names if other != name])
     from_faulty = 0
     for _ in range(SPAN - 1):
         now += PERIOD
