--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -98,7 +98,7 @@
         self.check()
 
     def parts(self) -> dict[str, int]:
-        return {name: ledger.part(self.now(name), 0) for name, ledger in self.ledgers.items()}
+        return {name: ledger.available_units(self.now(name), 0) for name, ledger in self.ledgers.items()}
 
     def check(self) -> None:
         parts = self.parts()
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -103,7 +103,7 @@
             self._members = members
             self._ring = sorted([*members, self.name], key=point)
 
-    def part(self, now: timedelta, budget: int, ahead: timedelta = timedelta()) -> int:
+    def available_units(self, now: timedelta, budget: int, ahead: timedelta = timedelta()) -> int:
         """The units that this member may use from now on for a duration of ``ahead``, if it lends no more.
 
         From ``BASE - LENDABLE`` to ``BASE + LENDABLE``."""
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -156,7 +156,7 @@
     def standalone_shares(self, now: timedelta) -> dict[int, float]:
         """The shares for a scheduler that leaves the fleet: without borrowed units, less the lent ones."""
         ledger = self.ledger
-        return {budget: ledger.part(now, budget, ledger.span) / BASE for budget in ledger.budgets}
+        return {budget: ledger.available_units(now, budget, ledger.span) / BASE for budget in ledger.budgets}
 
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
         """Returns the messages that tell all members that this scheduler leaves."""
@@ -232,7 +232,9 @@
     def _shares(self, now: timedelta) -> dict[int, float]:
         """The shares that hold at least until the next round: loans that end sooner are not counted."""
         ahead = self.period * SHARE_AHEAD
-        return {budget: self.ledger.part(now, budget, ahead) / BASE for budget in self.ledger.budgets}
+        return {
+            budget: self.ledger.available_units(now, budget, ahead) / BASE for budget in self.ledger.budgets
+        }
 
     def _update_suspected(self, now: timedelta, failures: Mapping[int, int]) -> bool:
         """Renews the suspicion of workers that failed once more; returns whether there is a new one."""
