--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -91,7 +91,7 @@
         self.time += PERIOD
         for name, ledger in self.ledgers.items():
             ledger.set_members([other for other in self.side(name) if other != name])
-            for asking in ledger.ask(self.now(name), {0: left[name]}):
+            for asking in ledger.make_requests(self.now(name), {0: left[name]}):
                 self.send("ask", name, asking.lender, asking.number, asking.units)
         for _ in range(3):
             self.deliver(left)
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -116,7 +116,7 @@
             if loan.budget == budget and loan.until > now + ahead
         )
 
-    def ask(self, now: timedelta, left: Mapping[int, float]) -> list[BudgetRequest]:
+    def make_requests(self, now: timedelta, left: Mapping[int, float]) -> list[BudgetRequest]:
         """Returns requests for the emptiest budgets, one neighbour each; ``left``: their fill levels."""
         self._expire(now)
         requests: list[BudgetRequest] = []
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -195,7 +195,7 @@
         if any_new:  # own suspicions, at most once a period: reported to all members at once
             for member in members.values():
                 self.membership.gossip.queue(PacketKind.GOSSIP, member)
-        for request in self.ledger.ask(now, facts.fill_levels):
+        for request in self.ledger.make_requests(now, facts.fill_levels):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
                 members[request.lender],
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -77,7 +77,7 @@
     for _ in range(SPAN - 1):
         now += PERIOD
         for name in names[1:]:
-            for request in ledgers[name].ask(now, {0: 0.0}):
+            for request in ledgers[name].make_requests(now, {0: 0.0}):
                 if request.lender != "m0":
                     continue
                 ledger, grant = ledgers[name], (now, "m0", 0, request.number)
