--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -150,7 +150,7 @@
                 budget.spend()
                 self.unspent -= 1
             others = [other for other in self.side(name) if other != name]
-            if asking := self.gifts[name].ask(budget.retries_left, others):
+            if asking := self.gifts[name].make_request(budget.retries_left, others):
                 self.send("ask", name, asking.lender, asking.number, asking.units)
         for _ in range(3):
             for kind, sender, to, number, units in self.receive_due():
--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -42,7 +42,7 @@
                 budget_id("\0attempts", EARNED_PER_SERVED_JOB, max_retries),
             )
 
-    def ask(self, left: float, givers: Sequence[str]) -> BudgetRequest | None:
+    def make_request(self, left: float, givers: Sequence[str]) -> BudgetRequest | None:
         """Returns a request if the balance ``left`` is low; called once a period."""
         if not givers or left >= BUSY * self.max_retries:
             return None
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -204,7 +204,7 @@
                 units=request.units,
             )
         self.retry_transfer.retune(facts.max_retries)
-        if retries := self.retry_transfer.ask(facts.retries_left, self.ledger.lenders()):
+        if retries := self.retry_transfer.make_request(facts.retries_left, self.ledger.lenders()):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
                 members[retries.lender],
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -124,13 +124,13 @@
     for transfer in (giver, taker):
         transfer.retune(8.0)
     piece = int(8.0 * UNITS) // PIECES
-    request = taker.ask(1.0, ["faulty", "m1"])
-    assert request and request.units == piece and taker.ask(2.0, ["m1"]) is None  # a quarter is left
+    request = taker.make_request(1.0, ["faulty", "m1"])
+    assert request and request.units == piece and taker.make_request(2.0, ["m1"]) is None  # a quarter is left
     assert not taker.receive("other", request.number, 1)
     assert not taker.receive(request.lender, request.number, piece + 1)
     assert taker.receive(request.lender, request.number, piece) == piece
     assert not taker.receive(request.lender, request.number, piece)
     assert giver.grant("m2", 7, piece, 6.4, ["m2"]) == 400  # what exceeds three quarters
     assert not giver.grant("m2", 7, piece, 8.0, ["m2"]) and not giver.grant("m3", 8, piece, 8.0, ["m2"])
-    numbers = [taker.ask(0.0, ["faulty"]).number for _ in range(MAX_PENDING + 5)]
+    numbers = [taker.make_request(0.0, ["faulty"]).number for _ in range(MAX_PENDING + 5)]
     assert sum(taker.receive("faulty", number, piece) for number in numbers) == MAX_PENDING * piece
