--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -135,7 +135,7 @@
         """Start as after a crash: the retries left and the open requests are lost."""
         self.incarnation += 1000
         self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.incarnation)
-        self.gifts[name].retune(self.budgets[name].max_retries)
+        self.gifts[name].set_max_retries(self.budgets[name].max_retries)
         self.unspent += self.budgets[name].retries_left
 
     def period(self, busy: Sequence[str], served: int = 40) -> None:
--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -34,7 +34,7 @@
         self._pending: dict[int, str] = {}  # number and giver
         self._answered: dict[str, int] = {}  # the last number of each taker
 
-    def retune(self, max_retries: float) -> None:
+    def set_max_retries(self, max_retries: float) -> None:
         """Sets the maximal balance; members with another one have another budget."""
         if max_retries != self.max_retries:
             self.max_retries, self.budget = (
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -203,7 +203,7 @@
                 budget_id=request.budget,
                 units=request.units,
             )
-        self.retry_transfer.retune(facts.max_retries)
+        self.retry_transfer.set_max_retries(facts.max_retries)
         if retries := self.retry_transfer.make_request(facts.retries_left, self.ledger.lenders()):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -122,7 +122,7 @@
     """A faulty giver adds at most one piece a period; repeated or other grants are rejected."""
     giver, taker = BudgetTransfer(1), BudgetTransfer(1000)
     for transfer in (giver, taker):
-        transfer.retune(8.0)
+        transfer.set_max_retries(8.0)
     piece = int(8.0 * UNITS) // PIECES
     request = taker.make_request(1.0, ["faulty", "m1"])
     assert request and request.units == piece and taker.make_request(2.0, ["m1"]) is None  # a quarter is left
