--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from carthinge.fleet.budget_transfer import UNITS, BudgetTransfer
-from carthinge.fleet.quota_lending import BASE, LENDABLE, SPAN, Ledger
+from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, Ledger
 from carthinge.fleet.retry_budget import RetryBudget
 
 PERIOD = timedelta(seconds=1)
@@ -41,7 +41,7 @@
 
     def send(self, *message) -> None:  # type: ignore[no-untyped-def]
         for _ in range(self.rng.choice((0, 1, 1, 1, 2))):
-            delay = self.rng.choice((0.0, 0.0, 0.0, 1.5, SPAN * 0.9, SPAN * 1.1)) * PERIOD
+            delay = self.rng.choice((0.0, 0.0, 0.0, 1.5, LOAN_PERIODS * 0.9, LOAN_PERIODS * 1.1)) * PERIOD
             self.under_way.append((self.time + delay, message))
 
     def receive_due(self) -> list[tuple[str, str, str, int, int]]:
@@ -111,7 +111,7 @@
     """Run all connected until the hold after a restart is over, then with each partition for a while."""
     world = World(size, seed)
     left = {name: 0.0 if number in busy else 1.0 for number, name in enumerate(world.names)}
-    for _ in range(SPAN + 1):
+    for _ in range(LOAN_PERIODS + 1):
         world.period({name: 1.0 for name in world.names})
     for sides in splits:
         world.sides = sides
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -23,7 +23,7 @@
 BASE: Final = 1024  # units of each budget that a member owns
 LENDABLE: Final = BASE // 2  # of these at most
 NEIGHBOURS: Final = 8  # members that one lends to, and that one borrows from
-SPAN: Final = 10  # periods of a loan
+LOAN_PERIODS: Final = 10  # periods of a loan
 DRIFT: Final = 1.02  # the lender's loan is longer by that: clock rates may be off by one per cent each
 BUSY: Final = 0.25  # fill level of a quota below which its owner asks
 IDLE: Final = 0.75  # fill level above which its owner lends
@@ -84,7 +84,7 @@
         lent among them.  ``number``: the number of the last request before; if possible, above those of the
         previous run."""
         self.name, self.budgets = name, budgets
-        self.span = SPAN * period
+        self.span = LOAN_PERIODS * period
         self.lent: list[_Loan] = []
         self.borrowed: dict[str, list[_Loan]] = {}
         self.granted = self.asked_for = 0  #: units in total, for the metrics
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -13,7 +13,7 @@
 from ledger_world import PERIOD, World, partitions, played, spent
 
 from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS, BudgetTransfer
-from carthinge.fleet.quota_lending import BASE, LENDABLE, NEIGHBOURS, SPAN, Ledger
+from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
 
 
 @pytest.mark.parametrize("busy", [(0,), (0, 1)])
@@ -53,13 +53,13 @@
 def test_busy_member_borrows_and_returns():
     world = World(3, 1, drift=0)
     world.send = lambda *message: world.under_way.append((world.time, message))
-    for _ in range(SPAN + 1):
+    for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     assert set(world.parts().values()) == {BASE}
     for _ in range(10):
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
     assert world.parts() == {"m0": BASE + LENDABLE, "m1": BASE - LENDABLE // 2, "m2": BASE - LENDABLE // 2}
-    for _ in range(2 * SPAN):  # partitioned: loans expire without any message
+    for _ in range(2 * LOAN_PERIODS):  # partitioned: loans expire without any message
         world.sides = [["m0"], ["m1", "m2"]]
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
     assert set(world.parts().values()) == {BASE}
@@ -70,11 +70,11 @@
     """Rejected grants: above the request, from another lender, for another budget, repeated."""
     names = [f"m{number}" for number in range(size)]
     ledgers = {name: Ledger(name, [0], PERIOD, timedelta(), 1) for name in names}
-    now = SPAN * 2 * PERIOD
+    now = LOAN_PERIODS * 2 * PERIOD
     for name, ledger in ledgers.items():
         ledger.set_members([other for other in names if other != name])
     from_faulty = 0
-    for _ in range(SPAN - 1):
+    for _ in range(LOAN_PERIODS - 1):
         now += PERIOD
         for name in names[1:]:
             for request in ledgers[name].make_requests(now, {0: 0.0}):
@@ -93,11 +93,11 @@
 
 def test_restarted_lender_withholds_lent_units():
     world = World(2, 1, drift=0)
-    for _ in range(SPAN + 1):
+    for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     world.start("m1")
     assert world.parts()["m1"] == BASE - LENDABLE
-    for _ in range(SPAN + 1):
+    for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     assert world.parts()["m1"] == BASE
 
