--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from random import Random
 
-from carthinge.fleet.budget_transfer import UNITS, BudgetTransfer
+from carthinge.fleet.budget_transfer import UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, Ledger
 from carthinge.fleet.retry_budget import RetryBudget
 
@@ -157,9 +157,9 @@
                 others = [other for other in self.side(to) if other != to]
                 gifts, budget = self.gifts[to], self.budgets[to]
                 if kind == "grant":
-                    budget.transfer(gifts.receive(sender, number, units) / UNITS)
+                    budget.transfer(gifts.receive(sender, number, units) / UNITS_PER_RETRY)
                 elif given := gifts.grant(sender, number, units, budget.retries_left, others):
-                    budget.transfer(-given / UNITS)
+                    budget.transfer(-given / UNITS_PER_RETRY)
                     self.send("grant", to, sender, number, given)
                 self.check()
 
--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -18,7 +18,7 @@
 from carthinge.fleet.quota_lending import BUSY, IDLE, NEIGHBOURS, BudgetRequest, budget_id
 from carthinge.fleet.retry_budget import EARNED_PER_SERVED_JOB
 
-UNITS: Final = 1000  # in a retry
+UNITS_PER_RETRY: Final = 1000  # in a retry
 PIECES: Final = 8  # in which the maximal balance is transferred
 MAX_PENDING: Final = 2 * NEIGHBOURS  # requests; one that is older than two passes over the givers is dropped
 
@@ -59,7 +59,7 @@
             return 0
         self._answered = {name: last for name, last in self._answered.items() if name in takers}
         self._answered[taker] = number
-        units = min(units, self._piece(), int((left - IDLE * self.max_retries) * UNITS))
+        units = min(units, self._piece(), int((left - IDLE * self.max_retries) * UNITS_PER_RETRY))
         if units <= 0:
             return 0
         self.given += units
@@ -74,4 +74,4 @@
         return units
 
     def _piece(self) -> int:
-        return int(self.max_retries * UNITS) // PIECES
+        return int(self.max_retries * UNITS_PER_RETRY) // PIECES
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -11,7 +11,7 @@
 from typing import Final, Protocol
 
 from carthinge.fleet.agreement import agreed, agreed_levels
-from carthinge.fleet.budget_transfer import UNITS, BudgetTransfer
+from carthinge.fleet.budget_transfer import UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.gossip import LIVE, Member, OutgoingPacket
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import (
@@ -142,7 +142,7 @@
 
     def passed(self) -> float:
         """The retries received since the last call; below 0: given away."""
-        transferred, self._transferred = self._transferred / UNITS, 0
+        transferred, self._transferred = self._transferred / UNITS_PER_RETRY, 0
         return transferred
 
     def retune(self, now: timedelta, layout: int, budgets: Collection[int]) -> None:
@@ -278,8 +278,8 @@
             "part_most": round(max(shares, default=1.0), 3),
             "lent": self.ledger.granted,
             "asked_for": self.ledger.asked_for,
-            "repeats_given": self.retry_transfer.given / UNITS,
-            "repeats_taken": self.retry_transfer.taken / UNITS,
+            "repeats_given": self.retry_transfer.given / UNITS_PER_RETRY,
+            "repeats_taken": self.retry_transfer.taken / UNITS_PER_RETRY,
             "workers_doubted": decision.suspected_count,
             "workers_to_try": len(decision.to_try),
             "summaries_refused": sum(self.summaries.refused.values()),
--- a/tests/test_fleet_passing.py
+++ b/tests/test_fleet_passing.py
@@ -12,7 +12,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
 from ledger_world import PERIOD, World, partitions, played, spent
 
-from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS, BudgetTransfer
+from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
 
 
@@ -123,7 +123,7 @@
     giver, taker = BudgetTransfer(1), BudgetTransfer(1000)
     for transfer in (giver, taker):
         transfer.set_max_retries(8.0)
-    piece = int(8.0 * UNITS) // PIECES
+    piece = int(8.0 * UNITS_PER_RETRY) // PIECES
     request = taker.make_request(1.0, ["faulty", "m1"])
     assert request and request.units == piece and taker.make_request(2.0, ["m1"]) is None  # a quarter is left
     assert not taker.receive("other", request.number, 1)
