--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -148,7 +148,9 @@
 
     def step(self, talk: Talk | None) -> None:
         now = self.net.now
-        shared = talk.view.ruling.alone.get(self.WORKER, timedelta()) if talk is not None else timedelta()
+        shared = (
+            talk.view.ruling.avoid_until.get(self.WORKER, timedelta()) if talk is not None else timedelta()
+        )
         if now >= max(self.next_attempt_at, shared):
             self.attempts.append(now)
             pause = min(FIRST_PAUSE_SECONDS * 2 ** min(self.strikes, 16), MAX_PAUSE_SECONDS)
--- a/carthinge/fleet/shared_ejections.py
+++ b/carthinge/fleet/shared_ejections.py
@@ -35,7 +35,7 @@
 class EjectionDecision:
     """What follows for this scheduler, until the next decision."""
 
-    alone: dict[int, timedelta] = field(default_factory=dict)  #: workers to avoid, until when
+    avoid_until: dict[int, timedelta] = field(default_factory=dict)  #: workers to avoid, until when
     to_try: set[int] = field(default_factory=set)  #: suspected workers that this scheduler tries again
     cleared: set[int] = field(default_factory=set)  #: own suspicions older than a report that it is healthy
     suspected_count: int = 0  #: workers suspected by enough members and not cleared
@@ -91,13 +91,13 @@
             if self.healthy_at.get(worker, NEVER) > latest:
                 continue
             if ranks[self.name] > max_rank:
-                decision.alone[worker] = now + EJECTION_PERIODS * self.period
+                decision.avoid_until[worker] = now + EJECTION_PERIODS * self.period
                 continue
             decision.to_try.add(worker)
             if worker not in own and now < since + FIRST_TRY_PERIODS * self.period:
-                decision.alone[worker] = since + FIRST_TRY_PERIODS * self.period
+                decision.avoid_until[worker] = since + FIRST_TRY_PERIODS * self.period
         if decision.suspected_count > max(1.0, MAX_SUSPECTED_SHARE * workers):
-            decision.alone.clear()
+            decision.avoid_until.clear()
         for worker in self._since.keys() - suspicions.keys():
             del self._since[worker]
         for worker in [
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -237,7 +237,8 @@
 @STEADY
 def test_single_suspicion_ejects_no_worker(faulty):
     assert all(
-        not decision.alone and not decision.suspected_count for decision in decisions({"m0": faulty}).values()
+        not decision.avoid_until and not decision.suspected_count
+        for decision in decisions({"m0": faulty}).values()
     )
 
 
@@ -250,9 +251,11 @@
     assert len(triers) == 1
     for name, decision in decided.items():
         if name not in triers:
-            assert decision.alone == {worker: NOW + EJECTION_PERIODS * PERIOD}
+            assert decision.avoid_until == {worker: NOW + EJECTION_PERIODS * PERIOD}
         else:  # it waits first, unless it suspects the worker itself and has its own pause
-            assert decision.alone == ({} if name in accusers else {worker: NOW + FIRST_TRY_PERIODS * PERIOD})
+            assert decision.avoid_until == (
+                {} if name in accusers else {worker: NOW + FIRST_TRY_PERIODS * PERIOD}
+            )
 
 
 def test_healthy_report_of_trier_clears_worker():
@@ -264,7 +267,7 @@
     decisions(own, later, {trier: {9: later}}, views)
     assert views[trier].healthy_at == {9: later}
     decided = decisions(own, later, None, views, {trier: {9: later}})
-    assert not any(decision.alone or decision.suspected_count for decision in decided.values())
+    assert not any(decision.avoid_until or decision.suspected_count for decision in decided.values())
     assert decided["m0"].cleared == {9}  # and is no longer reported
     own["m0"], own["m1"] = {9: later + PERIOD}, {9: later + PERIOD}  # the worker fails once more
     decided = decisions(own, later + PERIOD, None, views, {trier: {9: later}})
@@ -277,7 +280,9 @@
     trier = next(name for name, decision in decided.items() if decision.to_try)
     others = [name for name in NAMES if name != trier]
     one = {others[0]: {9: NOW + PERIOD}}
-    assert sum(bool(decision.alone) for decision in decisions(own, NOW + PERIOD, known=one).values()) >= 3
+    assert (
+        sum(bool(decision.avoid_until) for decision in decisions(own, NOW + PERIOD, known=one).values()) >= 3
+    )
     two = {name: {9: NOW + PERIOD} for name in others[:2]}
     assert not any(
         decision.suspected_count for decision in decisions(own, NOW + PERIOD, two, known=two).values()
@@ -293,7 +298,7 @@
         own = {name: {9: at - PERIOD / 2} for name in ("m0", "m1")}
         healthy_at = {name: {9: at} for name in ("m2", "m3", "m4")}
         decided = decisions(own, at, healthy_at, views, known)
-        assert not any(decided[name].alone for name in ("m2", "m3", "m4"))
+        assert not any(decided[name].avoid_until for name in ("m2", "m3", "m4"))
         known = {name: views[name].healthy_at for name in ("m2", "m3", "m4")}
     assert not any(
         decision.suspected_count for decision in decisions(own, at, healthy_at, views, known).values()
@@ -303,7 +308,7 @@
 def test_many_suspected_workers_are_not_ejected():
     for suspected, ejected in ((2, True), (3, False)):
         own = {name: dict.fromkeys(range(suspected), NOW) for name in ("m0", "m1")}
-        assert any(decision.alone for decision in decisions(own, workers=6).values()) is ejected
+        assert any(decision.avoid_until for decision in decisions(own, workers=6).values()) is ejected
 
 
 def test_more_members_may_try_over_time():
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -102,7 +102,7 @@
     )
     net.run(3 * SECOND)
     (trier,) = (name for name, node in net.nodes.items() if node.view.ruling.to_try)
-    assert sum(9 in node.view.ruling.alone for node in net.nodes.values()) == 4
+    assert sum(9 in node.view.ruling.avoid_until for node in net.nodes.values()) == 4
     net.schedulers[trier].facts.update(failures={}, healthy_at={9: net.now})
     assert net.run(
         10 * SECOND, lambda: not any(node.view.ruling.suspected_count for node in net.nodes.values())
