--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -149,7 +149,7 @@
     def step(self, talk: Talk | None) -> None:
         now = self.net.now
         shared = (
-            talk.view.ruling.avoid_until.get(self.WORKER, timedelta()) if talk is not None else timedelta()
+            talk.view.ejections.avoid_until.get(self.WORKER, timedelta()) if talk is not None else timedelta()
         )
         if now >= max(self.next_attempt_at, shared):
             self.attempts.append(now)
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -63,7 +63,7 @@
 class View:
     """The current joint decisions, as seen by this member."""
 
-    ruling: EjectionDecision = field(default_factory=EjectionDecision)
+    ejections: EjectionDecision = field(default_factory=EjectionDecision)
     levels: dict[int, int] = field(default_factory=dict)  #: agreed ones, of each cell with enough votes
     pressure: float = 0.0  #: the median
     shares: dict[int, float] = field(default_factory=dict)  #: of each quota; 1.0 is the member's own
@@ -268,7 +268,7 @@
 
     def figures(self) -> dict[str, object]:
         """The metrics of the fleet."""
-        counts, decision, shares = self.membership.counts(), self.view.ruling, self.view.shares.values()
+        counts, decision, shares = self.membership.counts(), self.view.ejections, self.view.shares.values()
         return {
             **{f"members_{name}": counts[name] for name in ("alive", "suspect", "dead", "left")},
             "voices": self.view.voters,
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -75,7 +75,7 @@
         """The event for the decision module; it takes the transferred retries out of ``node``."""
         view = node.view
         return FleetView(
-            tuple((worker, until // MICROSECOND) for worker, until in view.ruling.avoid_until.items()),
+            tuple((worker, until // MICROSECOND) for worker, until in view.ejections.avoid_until.items()),
             parts,
             {divmod(cell, self.classes): level for cell, level in view.levels.items()},
             node.passed(),
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -98,14 +98,14 @@
     for name in ("n2", "n3"):
         net.schedulers[name].facts["failures"] = {9: 1}
     assert net.run(
-        5 * SECOND, lambda: all(node.view.ruling.suspected_count == 1 for node in net.nodes.values())
+        5 * SECOND, lambda: all(node.view.ejections.suspected_count == 1 for node in net.nodes.values())
     )
     net.run(3 * SECOND)
-    (trier,) = (name for name, node in net.nodes.items() if node.view.ruling.to_try)
-    assert sum(9 in node.view.ruling.avoid_until for node in net.nodes.values()) == 4
+    (trier,) = (name for name, node in net.nodes.items() if node.view.ejections.to_try)
+    assert sum(9 in node.view.ejections.avoid_until for node in net.nodes.values()) == 4
     net.schedulers[trier].facts.update(failures={}, healthy_at={9: net.now})
     assert net.run(
-        10 * SECOND, lambda: not any(node.view.ruling.suspected_count for node in net.nodes.values())
+        10 * SECOND, lambda: not any(node.view.ejections.suspected_count for node in net.nodes.values())
     )
 
 
@@ -141,7 +141,7 @@
         net.run(SECOND / 4)
     for node in net.nodes.values():
         assert node.view.levels == {5: 2} and node.view.pressure == 1.0
-        assert not node.view.ruling.suspected_count and node.view.shares[1] <= 1.5
+        assert not node.view.ejections.suspected_count and node.view.shares[1] <= 1.5
         assert node.figures()["summaries_refused"] > 0
 
 
