--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -140,7 +140,7 @@
         self.strikes, self.next_attempt_at = 0, timedelta()
         self.attempts: list[timedelta] = []
 
-    def look(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Facts:
         return Facts({self.WORKER: self.strikes} if self.strikes else {}, workers=100)
 
     def repeats(self) -> float:
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -45,8 +45,8 @@
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
 
-    def look(self, workers: Collection[int]) -> Facts:
-        return self.insight.look(workers, self.simulation.clock.now)
+    def observe(self, workers: Collection[int]) -> Facts:
+        return self.insight.observe(workers, self.simulation.clock.now)
 
     def repeats(self) -> float:
         return float(self.module.context.budget.retries_left)
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -52,7 +52,7 @@
 class Scheduler(Protocol):
     """The scheduler that takes part."""
 
-    def look(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Facts:
         """The current observations, with the last signs of life of these workers."""
 
     def repeats(self) -> float:
@@ -167,7 +167,7 @@
         self.rounds += 1
         members = {member.name: member for member in self.membership.live_members()}
         self.ledger.set_members(members.keys())
-        facts = self.scheduler.look(self._observed_workers)
+        facts = self.scheduler.observe(self._observed_workers)
         self._fill_levels = facts.fill_levels
         any_new = self._update_suspected(now, facts.failures)
         received = self.summaries.fresh(now, members.keys())
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -31,7 +31,7 @@
         self.dispatcher, self.budgets, self.classes = dispatcher, budgets, max(1, classes)
         self._retries_spent = dispatcher.context.budget.spent
 
-    def look(self, workers: Collection[int], now: int) -> Facts:
+    def observe(self, workers: Collection[int], now: int) -> Facts:
         """The observations at that time, in microseconds, with the signs of life of these workers."""
         dispatcher = self.dispatcher
         known, context = dispatcher.fleet.workers, dispatcher.context
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -151,9 +151,9 @@
 
     # ---- local observations -------------------------------------------------------------------
 
-    def look(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Facts:
         """The current observations of the dispatcher, with the signs of life of these workers."""
-        return self._adapter.look(workers, self.loop.now // MICROSECOND)
+        return self._adapter.observe(workers, self.loop.now // MICROSECOND)
 
     def repeats(self) -> float:
         """The current retry budget."""
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -254,11 +254,11 @@
 def test_silence_is_not_reported_under_overload(dispatcher):
     adapter, worker = Insight(dispatcher, {}, 1), dispatcher.fleet.workers[101]
     worker.strikes = 1
-    assert adapter.look((), 1_000_000).failures == {101: 1}
+    assert adapter.observe((), 1_000_000).failures == {101: 1}
     dispatcher.context.level.shedding = True
-    assert adapter.look((), 1_000_000).failures == {}
+    assert adapter.observe((), 1_000_000).failures == {}
     worker.errors = 3
-    assert adapter.look((), 1_000_000).failures == {101: 2}
+    assert adapter.observe((), 1_000_000).failures == {101: 2}
 
 
 def test_no_fleet_metrics_without_address(tmp_path):
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -22,7 +22,7 @@
     def __init__(self, **facts):
         self.facts = {"fill_levels": {1: 0.5}, "workers": 20, **facts}
 
-    def look(self, workers):
+    def observe(self, workers):
         healthy_at = self.facts.get("healthy_at", {})
         return Facts(
             **{**self.facts, "healthy_at": {at: healthy_at[at] for at in workers if at in healthy_at}}
