--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -143,7 +143,7 @@
     def observe(self, workers: Collection[int]) -> Facts:
         return Facts({self.WORKER: self.strikes} if self.strikes else {}, workers=100)
 
-    def repeats(self) -> float:
+    def retry_budget_left(self) -> float:
         return 0.0
 
     def step(self, talk: Talk | None) -> None:
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -48,7 +48,7 @@
     def observe(self, workers: Collection[int]) -> Facts:
         return self.insight.observe(workers, self.simulation.clock.now)
 
-    def repeats(self) -> float:
+    def retry_budget_left(self) -> float:
         return float(self.module.context.budget.retries_left)
 
     def receive(self, packet: Packet) -> None:
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -55,7 +55,7 @@
     def observe(self, workers: Collection[int]) -> Facts:
         """The current observations, with the last signs of life of these workers."""
 
-    def repeats(self) -> float:
+    def retry_budget_left(self) -> float:
         """The current retry budget, without what was just given away."""
 
 
@@ -221,7 +221,7 @@
         if packet.kind is PacketKind.GRANT:
             self._transferred += transfer.receive(packet.name, packet.number, units)
         elif units := transfer.grant(
-            packet.name, packet.number, units, self.scheduler.repeats(), self.ledger.borrowers()
+            packet.name, packet.number, units, self.scheduler.retry_budget_left(), self.ledger.borrowers()
         ):
             self._transferred -= units
             self.membership.gossip.queue(
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -155,7 +155,7 @@
         """The current observations of the dispatcher, with the signs of life of these workers."""
         return self._adapter.observe(workers, self.loop.now // MICROSECOND)
 
-    def repeats(self) -> float:
+    def retry_budget_left(self) -> float:
         """The current retry budget."""
         return self._adapter.dispatcher.context.budget.retries_left
 
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -28,7 +28,7 @@
             **{**self.facts, "healthy_at": {at: healthy_at[at] for at in workers if at in healthy_at}}
         )
 
-    def repeats(self):
+    def retry_budget_left(self):
         return self.facts["retries_left"]
 
 
