--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -140,7 +140,7 @@
             self.ledger.receive(now, packet.name, packet.budget_id, packet.number, packet.units)
         return out + self.membership.gossip.take_queued()
 
-    def passed(self) -> float:
+    def take_transferred_retries(self) -> float:
         """The retries received since the last call; below 0: given away."""
         transferred, self._transferred = self._transferred / UNITS_PER_RETRY, 0
         return transferred
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -78,5 +78,5 @@
             tuple((worker, until // MICROSECOND) for worker, until in view.ejections.avoid_until.items()),
             parts,
             {divmod(cell, self.classes): level for cell, level in view.levels.items()},
-            node.passed(),
+            node.take_transferred_retries(),
         )
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -76,7 +76,7 @@
     for _ in range(40):
         net.run(SECOND)
         for name, node in net.nodes.items():
-            transferred[name] += node.passed()
+            transferred[name] += node.take_transferred_retries()
     assert transferred["n1"] > 8 and sum(transferred.values()) <= 0
     assert all(transferred[name] < 0 for name in net.nodes if name != "n1")
 
