--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -145,7 +145,7 @@
         transferred, self._transferred = self._transferred / UNITS_PER_RETRY, 0
         return transferred
 
-    def retune(self, now: timedelta, layout: int, budgets: Collection[int]) -> None:
+    def apply_settings(self, now: timedelta, layout: int, budgets: Collection[int]) -> None:
         """Applies new tenants, classes or quotas; loans of a budget that remains are kept."""
         self._layout = self.summaries.layout = layout
         self.ledger.budgets = budgets
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -133,12 +133,12 @@
         )
         self._sock = self._node = None
 
-    def retune(self, site: Site) -> None:
+    def apply_settings(self, site: Site) -> None:
         """Applies new settings."""
         self.site = site
         self._adapter = self._make_adapter(self._adapter.dispatcher)
         if self._node is not None:
-            self._node.retune(self.loop.clock.now(), self._layout(), self._adapter.budgets.keys())
+            self._node.apply_settings(self.loop.clock.now(), self._layout(), self._adapter.budgets.keys())
             self._emit_view()
 
     def figures(self) -> dict[str, Any]:
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -356,7 +356,7 @@
         self.frontend.retune(site)
         self.worker_client.retune(site)
         if self.fleet is not None:
-            self.fleet.retune(site)
+            self.fleet.apply_settings(site)
         self.watch.set_address(config.discovery)
         self.watch.retune(site)
 
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -89,7 +89,7 @@
 
 def test_other_quotas_are_other_budgets(net):
     for node in net.nodes.values():
-        node.retune(net.now, 8, [2])
+        node.apply_settings(net.now, 8, [2])
     net.run(3 * SECOND)
     assert all(list(node.view.shares) == [2] for node in net.nodes.values())
 
