--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -24,7 +24,7 @@
 from carthinge.fleet.membership import Membership  # noqa: E402
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor, Summary  # noqa: E402
 from carthinge.fleet.quota_lending import BASE  # noqa: E402
-from carthinge.fleet.talk import Facts, Talk  # noqa: E402
+from carthinge.fleet.talk import Observations, Talk  # noqa: E402
 
 KEY = b"k" * 32
 SUMMARY = Summary(1 << 40, 1 << 20, 1 << 38, 1.5, [(3, 2), (4, 1)], 12.5, 80.0, [(1 << 63, 1 << 24)])
@@ -140,8 +140,8 @@
         self.strikes, self.next_attempt_at = 0, timedelta()
         self.attempts: list[timedelta] = []
 
-    def observe(self, workers: Collection[int]) -> Facts:
-        return Facts({self.WORKER: self.strikes} if self.strikes else {}, workers=100)
+    def observe(self, workers: Collection[int]) -> Observations:
+        return Observations({self.WORKER: self.strikes} if self.strikes else {}, workers=100)
 
     def retry_budget_left(self) -> float:
         return 0.0
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -10,7 +10,7 @@
 from carthinge import interface as io
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor
-from carthinge.fleet.talk import Facts, Talk
+from carthinge.fleet.talk import Observations, Talk
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
 from carthinge.scheduler.fleet_facts import Insight
@@ -45,7 +45,7 @@
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
 
-    def observe(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Observations:
         return self.insight.observe(workers, self.simulation.clock.now)
 
     def retry_budget_left(self) -> float:
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class Observations:
     """What the scheduler itself observes."""
 
     failures: Mapping[int, int] = field(default_factory=dict)  #: in a row, of each suspected worker
@@ -52,7 +52,7 @@
 class Scheduler(Protocol):
     """The scheduler that takes part."""
 
-    def observe(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Observations:
         """The current observations, with the last signs of life of these workers."""
 
     def retry_budget_left(self) -> float:
@@ -251,7 +251,7 @@
                 self._suspected[worker] = (times, known[1])
         return any_new
 
-    def _summary(self, now: timedelta, facts: Facts, suspected: Mapping[int, timedelta]) -> Summary:
+    def _summary(self, now: timedelta, facts: Observations, suspected: Mapping[int, timedelta]) -> Summary:
         """Contains as much as fits: the latest suspicions, the largest cells."""
         levels = [(cell, min(level, MAX_LEVEL)) for cell, level in list(facts.levels.items())[:MAX_CELLS]]
         return Summary(
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -7,7 +7,7 @@
 
 from carthinge.fleet.quota_lending import budget_id
 from carthinge.fleet.summary import MICROSECOND, cell_number
-from carthinge.fleet.talk import Facts, Talk
+from carthinge.fleet.talk import Observations, Talk
 from carthinge.interface import FleetView, Settings
 from carthinge.policy import Dispatcher
 
@@ -31,7 +31,7 @@
         self.dispatcher, self.budgets, self.classes = dispatcher, budgets, max(1, classes)
         self._retries_spent = dispatcher.context.budget.spent
 
-    def observe(self, workers: Collection[int], now: int) -> Facts:
+    def observe(self, workers: Collection[int], now: int) -> Observations:
         """The observations at that time, in microseconds, with the signs of life of these workers."""
         dispatcher = self.dispatcher
         known, context = dispatcher.fleet.workers, dispatcher.context
@@ -59,7 +59,7 @@
             for cell, level in context.own_shedding_levels(now).items()
         }
         spent, self._retries_spent = context.budget.spent - self._retries_spent, context.budget.spent
-        return Facts(
+        return Observations(
             failures,
             healthy_at,
             sum(worker.listed for worker in known.values()),
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -23,7 +23,7 @@
 from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, MemberState
 from carthinge.fleet.quota_lending import BASE, LENDABLE
 from carthinge.fleet.summary import layout_digest
-from carthinge.fleet.talk import Facts, Talk
+from carthinge.fleet.talk import Observations, Talk
 from carthinge.interface import FleetView
 from carthinge.net import log
 from carthinge.net.http import Address
@@ -151,7 +151,7 @@
 
     # ---- local observations -------------------------------------------------------------------
 
-    def observe(self, workers: Collection[int]) -> Facts:
+    def observe(self, workers: Collection[int]) -> Observations:
         """The current observations of the dispatcher, with the signs of life of these workers."""
         return self._adapter.observe(workers, self.loop.now // MICROSECOND)
 
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -13,7 +13,7 @@
 from carthinge.fleet.codec import encode
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor, Summary
-from carthinge.fleet.talk import Facts, Talk
+from carthinge.fleet.talk import Observations, Talk
 
 
 class FakeScheduler:
@@ -24,7 +24,7 @@
 
     def observe(self, workers):
         healthy_at = self.facts.get("healthy_at", {})
-        return Facts(
+        return Observations(
             **{**self.facts, "healthy_at": {at: healthy_at[at] for at in workers if at in healthy_at}}
         )
 
