--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -13,7 +13,7 @@
 from carthinge.fleet.talk import Observations, Talk
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
-from carthinge.scheduler.fleet_facts import Insight
+from carthinge.scheduler.fleet_facts import FleetAdapter
 
 DELAY_US = 500  # of a message
 
@@ -24,7 +24,7 @@
     def __init__(self, simulation: TalkingSimulation, position: int, restarts: int) -> None:
         self.simulation, self.scheduler = simulation, simulation.schedulers[position]
         self.module: Any = self.scheduler.module
-        self.insight = Insight(self.module, {}, len(simulation.world.job_profiles))
+        self.insight = FleetAdapter(self.module, {}, len(simulation.world.job_profiles))
         self.name, self._seen_changes, self._due = f"s{position}", 0, 0
         rng, now = Random(f"{simulation.seed}/talk/{position}/{restarts}"), simulation.clock.now * MICROSECOND
         member = Membership(
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -24,7 +24,7 @@
     }
 
 
-class Insight:
+class FleetAdapter:
     """One dispatcher's facts and views; ``budgets`` as from ``quota_budgets``, ``classes``: their number."""
 
     def __init__(self, dispatcher: Dispatcher, budgets: Mapping[int, int], classes: int) -> None:
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -31,7 +31,7 @@
 from carthinge.net.sockets import NOT_READY
 from carthinge.operator_file import FleetOptions
 from carthinge.policy import Dispatcher
-from carthinge.scheduler.fleet_facts import Insight, quota_budgets
+from carthinge.scheduler.fleet_facts import FleetAdapter, quota_budgets
 from carthinge.settings import Site
 
 MAX_DATAGRAMS_PER_TURN: Final = 64
@@ -162,9 +162,9 @@
     def _layout(self) -> int:
         return layout_digest(self.site.tenants, self.site.classes)
 
-    def _make_adapter(self, dispatcher: Dispatcher) -> Insight:
+    def _make_adapter(self, dispatcher: Dispatcher) -> FleetAdapter:
         site = self.site
-        return Insight(dispatcher, quota_budgets(site.tenants, site.decisions), len(site.classes))
+        return FleetAdapter(dispatcher, quota_budgets(site.tenants, site.decisions), len(site.classes))
 
     # ---- datagrams ----------------------------------------------------------------------------
 
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -15,7 +15,7 @@
 
 from carthinge import Dispatcher
 from carthinge import interface as io
-from carthinge.scheduler.fleet_facts import Insight
+from carthinge.scheduler.fleet_facts import FleetAdapter
 
 
 @contextlib.contextmanager
@@ -252,7 +252,7 @@
 
 
 def test_silence_is_not_reported_under_overload(dispatcher):
-    adapter, worker = Insight(dispatcher, {}, 1), dispatcher.fleet.workers[101]
+    adapter, worker = FleetAdapter(dispatcher, {}, 1), dispatcher.fleet.workers[101]
     worker.strikes = 1
     assert adapter.observe((), 1_000_000).failures == {101: 1}
     dispatcher.context.level.shedding = True
