--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -24,7 +24,7 @@
 from carthinge.fleet.membership import Membership  # noqa: E402
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor, Summary  # noqa: E402
 from carthinge.fleet.quota_lending import BASE  # noqa: E402
-from carthinge.fleet.talk import Observations, Talk  # noqa: E402
+from carthinge.fleet.talk import FleetNode, Observations  # noqa: E402
 
 KEY = b"k" * 32
 SUMMARY = Summary(1 << 40, 1 << 20, 1 << 38, 1.5, [(3, 2), (4, 1)], 12.5, 80.0, [(1 << 63, 1 << 24)])
@@ -146,7 +146,7 @@
     def retry_budget_left(self) -> float:
         return 0.0
 
-    def step(self, talk: Talk | None) -> None:
+    def step(self, talk: FleetNode | None) -> None:
         now = self.net.now
         shared = (
             talk.view.ejections.avoid_until.get(self.WORKER, timedelta()) if talk is not None else timedelta()
@@ -165,7 +165,7 @@
     talks = {}
     for at, (name, machine) in enumerate(list(net.nodes.items())):
         if with_talk:
-            talks[name] = net.nodes[name] = Talk(machine, 1, (), 1000 + at, probing[name], net.now)
+            talks[name] = net.nodes[name] = FleetNode(machine, 1, (), 1000 + at, probing[name], net.now)
             net._schedule(name)
     net.run(3 * SECOND)
     began = net.now
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -10,7 +10,7 @@
 from carthinge import interface as io
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor
-from carthinge.fleet.talk import Observations, Talk
+from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
 from carthinge.scheduler.fleet_facts import FleetAdapter
@@ -41,7 +41,9 @@
             member.handle_packet(now, Packet(PacketKind.GOSSIP, other, other, 1000, rumors=simulation.rumors))
             member.gossip.rumors.clear()
             member.gossip.take_queued()
-        self.talk = Talk(member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period)
+        self.talk = FleetNode(
+            member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period
+        )
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
 
--- a/carthinge/fleet/talk.py
+++ b/carthinge/fleet/talk.py
@@ -70,7 +70,7 @@
     voters: int = 1  #: members with a fresh summary, with this one
 
 
-class Talk:
+class FleetNode:
     """One scheduler's part in the fleet."""
 
     def __init__(
--- a/carthinge/scheduler/fleet_facts.py
+++ b/carthinge/scheduler/fleet_facts.py
@@ -7,7 +7,7 @@
 
 from carthinge.fleet.quota_lending import budget_id
 from carthinge.fleet.summary import MICROSECOND, cell_number
-from carthinge.fleet.talk import Observations, Talk
+from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.interface import FleetView, Settings
 from carthinge.policy import Dispatcher
 
@@ -71,7 +71,7 @@
             context.budget.max_retries,
         )
 
-    def view(self, node: Talk, parts: tuple[float, ...]) -> FleetView:
+    def view(self, node: FleetNode, parts: tuple[float, ...]) -> FleetView:
         """The event for the decision module; it takes the transferred retries out of ``node``."""
         view = node.view
         return FleetView(
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -23,7 +23,7 @@
 from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, MemberState
 from carthinge.fleet.quota_lending import BASE, LENDABLE
 from carthinge.fleet.summary import layout_digest
-from carthinge.fleet.talk import Observations, Talk
+from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.interface import FleetView
 from carthinge.net import log
 from carthinge.net.http import Address
@@ -63,7 +63,7 @@
         self._adapter, self._emit = self._make_adapter(dispatcher), emit
         self._key = Path(options.key_file).read_bytes().strip() if options.key_file else b""
         self._sock: socket.socket | None = None
-        self._node: Talk | None = None
+        self._node: FleetNode | None = None
         self._timer: Timer | None = None
         self._timer_due = timedelta()
         self._emitted_changes = 0  # of the view
@@ -103,7 +103,7 @@
             rng.getrandbits(64),
             now,
         )
-        self._node = Talk(
+        self._node = FleetNode(
             membership, self._layout(), self._adapter.budgets.keys(), rng.randrange(UINT48_LIMIT), self, now
         )
         self.loop.register(sock, READ, lambda _: self._read())
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -13,7 +13,7 @@
 from carthinge.fleet.codec import encode
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor, Summary
-from carthinge.fleet.talk import Observations, Talk
+from carthinge.fleet.talk import FleetNode, Observations
 
 
 class FakeScheduler:
@@ -40,7 +40,7 @@
         name = f"n{number}"
         member = Membership(name, name, ["n0"], SECOND, 1000, number, net.now)
         net.schedulers[name] = FakeScheduler()
-        net.add(name, Talk(member, 7, [1], number + 1, net.schedulers[name], net.now))
+        net.add(name, FleetNode(member, 7, [1], number + 1, net.schedulers[name], net.now))
     assert net.run(40 * SECOND, lambda: all(node.view.voters == 5 for node in net.nodes.values()))
     return net
 
@@ -186,7 +186,9 @@
     scheduler = FakeScheduler(
         failures={number: 1 for number in range(20)}, levels={number: 1 for number in range(90)}
     )
-    node = Talk(Membership("n0", "n0", ["n1"], SECOND, 1000, 1, 0 * SECOND), 7, [1], 1, scheduler, 0 * SECOND)
+    node = FleetNode(
+        Membership("n0", "n0", ["n1"], SECOND, 1000, 1, 0 * SECOND), 7, [1], 1, scheduler, 0 * SECOND
+    )
     for at, packet in enumerate(packets):
         for _, sent in [*node.tick(at * SECOND / 3), *node.handle_packet(at * SECOND / 3, packet)]:
             # Longer addresses only come back to their own sender.
