--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -13,7 +13,7 @@
 from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
-from carthinge.scheduler.fleet_facts import FleetAdapter
+from carthinge.scheduler.fleet_adapter import FleetAdapter
 
 DELAY_US = 500  # of a message
 
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -31,7 +31,7 @@
 from carthinge.net.sockets import NOT_READY
 from carthinge.operator_file import FleetOptions
 from carthinge.policy import Dispatcher
-from carthinge.scheduler.fleet_facts import FleetAdapter, quota_budgets
+from carthinge.scheduler.fleet_adapter import FleetAdapter, quota_budgets
 from carthinge.settings import Site
 
 MAX_DATAGRAMS_PER_TURN: Final = 64
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -15,7 +15,7 @@
 
 from carthinge import Dispatcher
 from carthinge import interface as io
-from carthinge.scheduler.fleet_facts import FleetAdapter
+from carthinge.scheduler.fleet_adapter import FleetAdapter
 
 
 @contextlib.contextmanager
