--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -21,10 +21,10 @@
 from virtual_net import SECOND, Net, Rough  # noqa: E402
 
 from carthinge.fleet.codec import encode  # noqa: E402
+from carthinge.fleet.fleet_node import FleetNode, Observations  # noqa: E402
 from carthinge.fleet.membership import Membership  # noqa: E402
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor, Summary  # noqa: E402
 from carthinge.fleet.quota_lending import BASE  # noqa: E402
-from carthinge.fleet.talk import FleetNode, Observations  # noqa: E402
 
 KEY = b"k" * 32
 SUMMARY = Summary(1 << 40, 1 << 20, 1 << 38, 1.5, [(3, 2), (4, 1)], 12.5, 80.0, [(1 << 63, 1 << 24)])
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from carthinge import interface as io
+from carthinge.fleet.fleet_node import FleetNode, Observations
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor
-from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.model import Simulation
 from carthinge.model.agenda import MICROSECOND, micros
 from carthinge.scheduler.fleet_adapter import FleetAdapter
--- a/carthinge/scheduler/fleet_adapter.py
+++ b/carthinge/scheduler/fleet_adapter.py
@@ -5,9 +5,9 @@
 from collections.abc import Collection, Mapping
 from typing import Final
 
+from carthinge.fleet.fleet_node import FleetNode, Observations
 from carthinge.fleet.quota_lending import budget_id
 from carthinge.fleet.summary import MICROSECOND, cell_number
-from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.interface import FleetView, Settings
 from carthinge.policy import Dispatcher
 
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -18,12 +18,12 @@
 from typing import Any, Final
 
 from carthinge.fleet.codec import BadPacketError, decode, encode
+from carthinge.fleet.fleet_node import FleetNode, Observations
 from carthinge.fleet.gossip import OutgoingPacket
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, MemberState
 from carthinge.fleet.quota_lending import BASE, LENDABLE
 from carthinge.fleet.summary import layout_digest
-from carthinge.fleet.talk import FleetNode, Observations
 from carthinge.interface import FleetView
 from carthinge.net import log
 from carthinge.net.http import Address
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -199,7 +199,7 @@
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True).stdout
     modules = (
         "membership",
-        "talk",
+        "fleet_node",
         "voice",
         "packets",
         "codec",
--- a/tests/test_fleet_talk.py
+++ b/tests/test_fleet_talk.py
@@ -11,9 +11,9 @@
 from virtual_net import SECOND, Net, Rough
 
 from carthinge.fleet.codec import encode
+from carthinge.fleet.fleet_node import FleetNode, Observations
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor, Summary
-from carthinge.fleet.talk import FleetNode, Observations
 
 
 class FakeScheduler:
