--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -18,7 +18,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 from ledger_world import partitions, played  # noqa: E402
-from virtual_net import SECOND, Net, Rough  # noqa: E402
+from virtual_net import SECOND, Net, NetworkFaults  # noqa: E402
 
 from carthinge.fleet.codec import encode  # noqa: E402
 from carthinge.fleet.fleet_node import FleetNode, Observations  # noqa: E402
@@ -37,7 +37,7 @@
 
 def fleet(size: int, seed: int, loss: float) -> Net:
     """Create members that know each other from the start, as joining is not measured."""
-    net = Net(seed, Rough(loss, 0.01))
+    net = Net(seed, NetworkFaults(loss, 0.01))
     rumors = [Rumor(f"scheduler-{at}", MemberState.ALIVE, 1000, f"scheduler-{at}") for at in range(size)]
     for at in range(size):
         name = f"scheduler-{at}"
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Rough:
+class NetworkFaults:
     """Faults of the network."""
 
     loss: float = 0.0
@@ -35,7 +35,7 @@
 @dataclass
 class Net:
     seed: int
-    rough: Rough = field(default_factory=Rough)
+    rough: NetworkFaults = field(default_factory=NetworkFaults)
     passes: Callable[[str, str], bool] = lambda sender, to: True  # False in a partition
     size: Callable[[Packet], int] | None = None  # size of a message, for counting bytes
     now: timedelta = timedelta()
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
-from virtual_net import SECOND, Net, Rough
+from virtual_net import SECOND, Net, NetworkFaults
 
 from carthinge.fleet.codec import BadPacketError, decode, encode
 from carthinge.fleet.membership import Membership
@@ -30,7 +30,7 @@
 
 
 def fleet(size, seed=1, rough=None):
-    net = Net(seed, rough or Rough(), size=lambda packet: len(encode(packet, b"key")))
+    net = Net(seed, rough or NetworkFaults(), size=lambda packet: len(encode(packet, b"key")))
     for number in range(size):
         member(net, f"n{number}", ["n0", "n1"])
     assert net.run(30 * PERIOD, lambda: agreed(net)), "the members do not agree"
@@ -61,7 +61,7 @@
 @settings(max_examples=25, deadline=None, derandomize=True)
 def test_lossy_network_makes_no_member_dead(size, seed, loss, twice):
     """A tenth may be lost, others are duplicated or reordered; each takes up to 0.15 periods."""
-    net = fleet(size, seed, Rough(loss, twice, (0.0, 0.15)))
+    net = fleet(size, seed, NetworkFaults(loss, twice, (0.0, 0.15)))
     net.run(40 * PERIOD)
     assert dead_pairs(net) == set()
 
@@ -74,7 +74,7 @@
         self.cuts = set()
         self.affected = set()
         self.killed = []
-        self.net = fleet(size, seed, Rough(loss, loss, (0.0, 0.1)))
+        self.net = fleet(size, seed, NetworkFaults(loss, loss, (0.0, 0.1)))
         self.net.passes = lambda sender, to: (sender, to) not in self.cuts
         self.names = sorted(self.net.nodes)
 
@@ -247,7 +247,7 @@
 
 def test_low_loss_starts_no_extra_checks():
     """More checks start only while most of them fail."""
-    net = fleet(20, 5, Rough(loss=0.1))
+    net = fleet(20, 5, NetworkFaults(loss=0.1))
     starts = set()
     for _ in range(60):
         net.run(PERIOD)
@@ -339,7 +339,7 @@
 
 def test_large_member_list_is_synced():
     """1,100 members, which one of them sends in pages."""
-    net = Net(3, Rough())
+    net = Net(3, NetworkFaults())
     for name in ("n0", "n1"):
         member(net, name, ["n0"])
     for number in range(2, 1100):
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
-from virtual_net import SECOND, Net, Rough
+from virtual_net import SECOND, Net, NetworkFaults
 
 from carthinge.fleet.codec import encode
 from carthinge.fleet.fleet_node import FleetNode, Observations
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def net():
-    net = Net(4, Rough(0.02, 0.1))
+    net = Net(4, NetworkFaults(0.02, 0.1))
     net.schedulers = {}
     for number in range(5):
         name = f"n{number}"
