--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -35,7 +35,7 @@
 @dataclass
 class Net:
     seed: int
-    rough: NetworkFaults = field(default_factory=NetworkFaults)
+    faults: NetworkFaults = field(default_factory=NetworkFaults)
     passes: Callable[[str, str], bool] = lambda sender, to: True  # False in a partition
     size: Callable[[Packet], int] | None = None  # size of a message, for counting bytes
     now: timedelta = timedelta()
@@ -80,9 +80,9 @@
             self.messages += 1
             if not self.passes(sender, to):
                 continue
-            for _ in range(1 + (self.rng.random() < self.rough.twice)):
-                if self.rng.random() >= self.rough.loss:
-                    self._push(self.now + self.rng.uniform(*self.rough.delay) * SECOND, to, packet)
+            for _ in range(1 + (self.rng.random() < self.faults.twice)):
+                if self.rng.random() >= self.faults.loss:
+                    self._push(self.now + self.rng.uniform(*self.faults.delay) * SECOND, to, packet)
 
     def run(self, duration: timedelta, until: Callable[[], bool] | None = None) -> bool:
         """Run on; return True as soon as ``until`` holds, which is checked after each event."""
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -29,8 +29,8 @@
     return sum(ord(letter) * 31**place for place, letter in enumerate(name))
 
 
-def fleet(size, seed=1, rough=None):
-    net = Net(seed, rough or NetworkFaults(), size=lambda packet: len(encode(packet, b"key")))
+def fleet(size, seed=1, faults=None):
+    net = Net(seed, faults or NetworkFaults(), size=lambda packet: len(encode(packet, b"key")))
     for number in range(size):
         member(net, f"n{number}", ["n0", "n1"])
     assert net.run(30 * PERIOD, lambda: agreed(net)), "the members do not agree"
