--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -28,7 +28,7 @@
     """Faults of the network."""
 
     loss: float = 0.0
-    twice: float = 0.0
+    duplication: float = 0.0
     delay: tuple[float, float] = (0.001, 0.01)  # seconds, uniform; messages may be reordered
 
 
@@ -80,7 +80,7 @@
             self.messages += 1
             if not self.passes(sender, to):
                 continue
-            for _ in range(1 + (self.rng.random() < self.faults.twice)):
+            for _ in range(1 + (self.rng.random() < self.faults.duplication)):
                 if self.rng.random() >= self.faults.loss:
                     self._push(self.now + self.rng.uniform(*self.faults.delay) * SECOND, to, packet)
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -57,11 +57,13 @@
     }
 
 
-@given(size=st.integers(2, 7), seed=st.integers(0, 10**6), loss=st.floats(0, 0.1), twice=st.floats(0, 0.3))
+@given(
+    size=st.integers(2, 7), seed=st.integers(0, 10**6), loss=st.floats(0, 0.1), duplication=st.floats(0, 0.3)
+)
 @settings(max_examples=25, deadline=None, derandomize=True)
-def test_lossy_network_makes_no_member_dead(size, seed, loss, twice):
+def test_lossy_network_makes_no_member_dead(size, seed, loss, duplication):
     """A tenth may be lost, others are duplicated or reordered; each takes up to 0.15 periods."""
-    net = fleet(size, seed, NetworkFaults(loss, twice, (0.0, 0.15)))
+    net = fleet(size, seed, NetworkFaults(loss, duplication, (0.0, 0.15)))
     net.run(40 * PERIOD)
     assert dead_pairs(net) == set()
 
