--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -102,7 +102,7 @@
     net = fleet(size, size, 0.01)
     left = {name for at, name in enumerate(net.nodes) if at % every == 1}
     cut, began = True, net.now
-    net.passes = lambda sender, to: not cut or (sender in left) == (to in left)
+    net.can_reach = lambda sender, to: not cut or (sender in left) == (to in left)
     while any(
         1 + len(node.live_members()) != (len(left) if name in left else size - len(left))
         for name, node in net.nodes.items()
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -36,7 +36,7 @@
 class Net:
     seed: int
     faults: NetworkFaults = field(default_factory=NetworkFaults)
-    passes: Callable[[str, str], bool] = lambda sender, to: True  # False in a partition
+    can_reach: Callable[[str, str], bool] = lambda sender, to: True  # False in a partition
     size: Callable[[Packet], int] | None = None  # size of a message, for counting bytes
     now: timedelta = timedelta()
     nodes: dict[str, Any] = field(default_factory=dict)
@@ -78,7 +78,7 @@
                 self.bytes += size
                 self.longest = max(self.longest, size)
             self.messages += 1
-            if not self.passes(sender, to):
+            if not self.can_reach(sender, to):
                 continue
             for _ in range(1 + (self.rng.random() < self.faults.duplication)):
                 if self.rng.random() >= self.faults.loss:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -77,7 +77,7 @@
         self.affected = set()
         self.killed = []
         self.net = fleet(size, seed, NetworkFaults(loss, loss, (0.0, 0.1)))
-        self.net.passes = lambda sender, to: (sender, to) not in self.cuts
+        self.net.can_reach = lambda sender, to: (sender, to) not in self.cuts
         self.names = sorted(self.net.nodes)
 
     @rule(periods=st.integers(1, 12))
@@ -220,7 +220,7 @@
     net = fleet(12)
     left = {f"n{number}" for number in range(5)}
     cut = True
-    net.passes = lambda sender, to: not cut or (sender in left) == (to in left)
+    net.can_reach = lambda sender, to: not cut or (sender in left) == (to in left)
     assert net.run(
         2 * DETECTION_PERIODS * PERIOD,
         lambda: all(
@@ -237,7 +237,7 @@
     """With one ping a period, and most updates sent to unreachable members, it took 80 periods among 100."""
     net = fleet(size, seed)
     left = {f"n{number}" for number in range(0, size, 20)}
-    net.passes = lambda sender, to: (sender in left) == (to in left)
+    net.can_reach = lambda sender, to: (sender in left) == (to in left)
     assert net.run(
         size * 6 // 10 * PERIOD,
         lambda: all(
