--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -61,7 +61,7 @@
         del self.nodes[name]
         self.stopped.discard(name)
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         self.stopped.add(name)
 
     def go_on(self, name: str) -> None:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -105,7 +105,7 @@
         if name in self.net.stopped:
             self.net.go_on(name)
         else:
-            self.net.stop(name)
+            self.net.pause(name)
 
     @rule(data=st.data(), both=st.booleans())
     def cut(self, data, both):
@@ -207,7 +207,7 @@
 
 def test_stopped_member_suspects_none_and_rejoins():
     net = fleet(5)
-    net.stop("n1")
+    net.pause("n1")
     net.run(DETECTION_PERIODS * PERIOD)
     net.kill("n4")  # meanwhile
     net.run(DETECTION_PERIODS * PERIOD)
@@ -261,7 +261,7 @@
 
 def test_short_pause_is_tolerated():
     net = fleet(3)
-    net.stop("n1")
+    net.pause("n1")
     net.run((MAX_PAUSE - 2) * PERIOD)
     net.go_on("n1")
     net.run(10 * PERIOD)
