--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -40,7 +40,7 @@
     size: Callable[[Packet], int] | None = None  # size of a message, for counting bytes
     now: timedelta = timedelta()
     nodes: dict[str, Any] = field(default_factory=dict)
-    stopped: set[str] = field(default_factory=set)  # as by SIGSTOP: messages are buffered up to a limit
+    paused: set[str] = field(default_factory=set)  # as by SIGSTOP: messages are buffered up to a limit
     messages: int = 0
     bytes: int = 0
     longest: int = 0
@@ -59,13 +59,13 @@
 
     def kill(self, name: str) -> None:
         del self.nodes[name]
-        self.stopped.discard(name)
+        self.paused.discard(name)
 
     def pause(self, name: str) -> None:
-        self.stopped.add(name)
+        self.paused.add(name)
 
     def go_on(self, name: str) -> None:
-        self.stopped.discard(name)
+        self.paused.discard(name)
         for packet in self._buffered.pop(name, []):
             self._deliver(name, packet)
         self.send(name, self.nodes[name].tick(self.now))
@@ -96,11 +96,11 @@
                 if self._due_times.get(name) != self.now:
                     continue  # replaced by an earlier one
                 del self._due_times[name]
-                if name in self.stopped:
+                if name in self.paused:
                     continue
                 if node.due() <= self.now:
                     self.send(name, node.tick(self.now))
-            elif name in self.stopped:
+            elif name in self.paused:
                 self._buffered.setdefault(name, []).append(packet)
                 del self._buffered[name][200:]
                 continue
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -42,7 +42,7 @@
 
 
 def agreed(net):
-    running = {name: machine for name, machine in net.nodes.items() if name not in net.stopped}
+    running = {name: machine for name, machine in net.nodes.items() if name not in net.paused}
     return all(view(machine) == set(running) for machine in running.values()) and not any(
         other.state is MemberState.SUSPECT for machine in running.values() for other in machine.live_members()
     )
@@ -102,7 +102,7 @@
     def stop_or_continue(self, data):
         name = data.draw(st.sampled_from(sorted(self.net.nodes)))
         self.affected.add(name)
-        if name in self.net.stopped:
+        if name in self.net.paused:
             self.net.go_on(name)
         else:
             self.net.pause(name)
@@ -131,7 +131,7 @@
         if not hasattr(self, "net"):
             return
         self.cuts.clear()
-        for name in list(self.net.stopped):
+        for name in list(self.net.paused):
             self.net.go_on(name)
         for name in self.names[:2]:  # a member that knows no other one only finds the seeds
             if name not in self.net.nodes:
