--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -64,7 +64,7 @@
     def pause(self, name: str) -> None:
         self.paused.add(name)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.paused.discard(name)
         for packet in self._buffered.pop(name, []):
             self._deliver(name, packet)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -103,7 +103,7 @@
         name = data.draw(st.sampled_from(sorted(self.net.nodes)))
         self.affected.add(name)
         if name in self.net.paused:
-            self.net.go_on(name)
+            self.net.resume(name)
         else:
             self.net.pause(name)
 
@@ -132,7 +132,7 @@
             return
         self.cuts.clear()
         for name in list(self.net.paused):
-            self.net.go_on(name)
+            self.net.resume(name)
         for name in self.names[:2]:  # a member that knows no other one only finds the seeds
             if name not in self.net.nodes:
                 member(self.net, name, self.names, 9000)
@@ -211,7 +211,7 @@
     net.run(DETECTION_PERIODS * PERIOD)
     net.kill("n4")  # meanwhile
     net.run(DETECTION_PERIODS * PERIOD)
-    net.go_on("n1")
+    net.resume("n1")
     assert net.run(5 * PERIOD, lambda: agreed(net))
     assert {other for one, other in dead_pairs(net) if one == "n1"} <= {"n4"}
 
@@ -263,7 +263,7 @@
     net = fleet(3)
     net.pause("n1")
     net.run((MAX_PAUSE - 2) * PERIOD)
-    net.go_on("n1")
+    net.resume("n1")
     net.run(10 * PERIOD)
     assert agreed(net) and net.nodes["n1"].members
 
