--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -92,7 +92,7 @@
         "false_deaths": false_deaths,
         "bytes_member_s": round(sent / size / quiet),
         "messages_member_s": round(messages / size / quiet, 1),
-        "longest": net.longest,
+        "longest": net.max_message_bytes,
     }
 
 
--- a/benchmarks/virtual_net.py
+++ b/benchmarks/virtual_net.py
@@ -43,7 +43,7 @@
     paused: set[str] = field(default_factory=set)  # as by SIGSTOP: messages are buffered up to a limit
     messages: int = 0
     bytes: int = 0
-    longest: int = 0
+    max_message_bytes: int = 0
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
@@ -76,7 +76,7 @@
             if self.size is not None:
                 size = self.size(packet)
                 self.bytes += size
-                self.longest = max(self.longest, size)
+                self.max_message_bytes = max(self.max_message_bytes, size)
             self.messages += 1
             if not self.can_reach(sender, to):
                 continue
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -139,7 +139,7 @@
         assert self.net.run(2 * DETECTION_PERIODS * PERIOD, lambda: agreed(self.net)), {
             name: machine.counts() for name, machine in self.net.nodes.items()
         }
-        assert self.net.longest <= MAX_PACKET_BYTES
+        assert self.net.max_message_bytes <= MAX_PACKET_BYTES
 
 
 TestFleet = Fleet.TestCase
