--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -37,18 +37,18 @@
         self.names = [f"m{number}" for number in range(size)]
         self.incarnation = 0
         self.sides = [self.names]
-        self.under_way: list[tuple[timedelta, tuple[str, str, str, int, int]]] = []
+        self.in_flight: list[tuple[timedelta, tuple[str, str, str, int, int]]] = []
 
     def send(self, *message) -> None:  # type: ignore[no-untyped-def]
         for _ in range(self.rng.choice((0, 1, 1, 1, 2))):
             delay = self.rng.choice((0.0, 0.0, 0.0, 1.5, LOAN_PERIODS * 0.9, LOAN_PERIODS * 1.1)) * PERIOD
-            self.under_way.append((self.time + delay, message))
+            self.in_flight.append((self.time + delay, message))
 
     def receive_due(self) -> list[tuple[str, str, str, int, int]]:
         """Remove and return the messages that are due, without those lost to a partition."""
-        due = [item for item in self.under_way if item[0] <= self.time]
+        due = [item for item in self.in_flight if item[0] <= self.time]
         for item in due:
-            self.under_way.remove(item)
+            self.in_flight.remove(item)
         return [message for _, message in due if self.side(message[1]) is self.side(message[2])]
 
     def side(self, name: str) -> list[str]:
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -52,7 +52,7 @@
 
 def test_busy_member_borrows_and_returns():
     world = World(3, 1, drift=0)
-    world.send = lambda *message: world.under_way.append((world.time, message))
+    world.send = lambda *message: world.in_flight.append((world.time, message))
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     assert set(world.parts().values()) == {BASE}
