--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -22,9 +22,9 @@
         return [[]]
     first, rest = names[0], names[1:]
     found: list[list[list[str]]] = []
-    for sides in partitions(rest):
-        found.append([[first], *sides])
-        found += [[*sides[:at], [first, *side], *sides[at + 1 :]] for at, side in enumerate(sides)]
+    for groups in partitions(rest):
+        found.append([[first], *groups])
+        found += [[*groups[:at], [first, *side], *groups[at + 1 :]] for at, side in enumerate(groups)]
     return found
 
 
@@ -36,7 +36,7 @@
         self.time = timedelta()
         self.names = [f"m{number}" for number in range(size)]
         self.incarnation = 0
-        self.sides = [self.names]
+        self.groups = [self.names]
         self.in_flight: list[tuple[timedelta, tuple[str, str, str, int, int]]] = []
 
     def send(self, *message) -> None:  # type: ignore[no-untyped-def]
@@ -52,7 +52,7 @@
         return [message for _, message in due if self.side(message[1]) is self.side(message[2])]
 
     def side(self, name: str) -> list[str]:
-        return next(side for side in self.sides if name in side)
+        return next(side for side in self.groups if name in side)
 
 
 class World(Transport):
@@ -113,8 +113,8 @@
     left = {name: 0.0 if number in busy else 1.0 for number, name in enumerate(world.names)}
     for _ in range(LOAN_PERIODS + 1):
         world.period({name: 1.0 for name in world.names})
-    for sides in splits:
-        world.sides = sides
+    for groups in splits:
+        world.groups = groups
         for _ in range(4):
             world.period(left)
     return world
@@ -177,8 +177,8 @@
     world = BudgetWorld(size, seed)
     for _ in range(4):
         world.period(())
-    for sides in splits:
-        world.sides = sides
+    for groups in splits:
+        world.groups = groups
         for _ in range(4):
             world.period([world.names[number] for number in busy])
     return world
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -42,9 +42,9 @@
         match data.draw(st.sampled_from(["go", "go", "go", "split", "heal", "restart"])):
             case "split":
                 at = data.draw(st.integers(1, size - 1))
-                world.sides = [world.names[:at], world.names[at:]]
+                world.groups = [world.names[:at], world.names[at:]]
             case "heal":
-                world.sides = [world.names]
+                world.groups = [world.names]
             case "restart":
                 world.start(data.draw(st.sampled_from(world.names)))
         world.period({name: world.rng.choice((0.0, 0.5, 1.0)) for name in world.names})
@@ -60,7 +60,7 @@
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
     assert world.parts() == {"m0": BASE + LENDABLE, "m1": BASE - LENDABLE // 2, "m2": BASE - LENDABLE // 2}
     for _ in range(2 * LOAN_PERIODS):  # partitioned: loans expire without any message
-        world.sides = [["m0"], ["m1", "m2"]]
+        world.groups = [["m0"], ["m1", "m2"]]
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
     assert set(world.parts().values()) == {BASE}
 
