--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
-from ledger_world import partitions, played  # noqa: E402
+from ledger_world import partitions, run_ledgers  # noqa: E402
 from virtual_net import SECOND, Net, NetworkFaults  # noqa: E402
 
 from carthinge.fleet.codec import encode  # noqa: E402
@@ -118,13 +118,13 @@
     """Return the maximum sum of all quota shares, relative to the whole, in every sequence of partitions."""
     partitions_by_size = {size: partitions([f"m{at}" for at in range(size)]) for size in (3, 4)}
     worst = max(
-        played(3, splits, (seed % 3,), seed).max_total / (3 * BASE)
+        run_ledgers(3, splits, (seed % 3,), seed).max_total / (3 * BASE)
         for seed, splits in enumerate(product(partitions_by_size[3], repeat=3 if quick else 5))
     )
     return max(
         worst,
         max(
-            played(4, splits, (seed % 4,), seed).max_total / (4 * BASE)
+            run_ledgers(4, splits, (seed % 4,), seed).max_total / (4 * BASE)
             for seed, splits in enumerate(product(partitions_by_size[4], repeat=1 if quick else 3))
         ),
     )
--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -107,7 +107,7 @@
         assert all(BASE - LENDABLE <= part <= BASE + LENDABLE for part in parts.values())
 
 
-def played(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> World:
+def run_ledgers(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> World:
     """Run all connected until the hold after a restart is over, then with each partition for a while."""
     world = World(size, seed)
     left = {name: 0.0 if number in busy else 1.0 for number, name in enumerate(world.names)}
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
-from ledger_world import PERIOD, World, partitions, played, spent
+from ledger_world import PERIOD, World, partitions, run_ledgers, spent
 
 from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
@@ -22,7 +22,7 @@
     assert len(ways) == 5
     borrowed = 0
     for number, splits in enumerate(product(ways, repeat=4)):
-        world = played(3, splits, busy, number)
+        world = run_ledgers(3, splits, busy, number)
         borrowed += any(ledger.borrowed for ledger in world.ledgers.values())
     assert borrowed > 100  # otherwise nothing was tested
 
@@ -31,7 +31,7 @@
     ways = partitions(["m0", "m1", "m2", "m3"])
     assert len(ways) == 15
     for number, splits in enumerate(product(ways, repeat=2)):
-        played(4, splits, (number % 4,), number)
+        run_ledgers(4, splits, (number % 4,), number)
 
 
 @given(size=st.integers(2, 8), seed=st.integers(0, 10**6), data=st.data())
