--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -172,7 +172,7 @@
         assert sum(left) <= RetryBudget.bound(len(self.names))
 
 
-def spent(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> BudgetWorld:
+def run_budgets(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> BudgetWorld:
     """Run all idle until the budgets are full, and then with each partition for a while."""
     world = BudgetWorld(size, seed)
     for _ in range(4):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
-from ledger_world import PERIOD, World, partitions, run_ledgers, spent
+from ledger_world import PERIOD, World, partitions, run_budgets, run_ledgers
 
 from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
@@ -109,13 +109,13 @@
     """All sequences of partitions of three and four members; random restarts are tested for quotas alike."""
     transferred = 0
     for number, splits in enumerate(product(partitions(["m0", "m1", "m2"]), repeat=4)):
-        world = spent(3, splits, (number % 3,), number)
+        world = run_budgets(3, splits, (number % 3,), number)
         transferred += any(transfer.taken for transfer in world.gifts.values())
         world.start("m1")
         world.period(("m2",))
     assert transferred > 100  # otherwise nothing was tested
     for number, splits in enumerate(product(partitions(["m0", "m1", "m2", "m3"]), repeat=2)):
-        spent(4, splits, (number % 4,), number)
+        run_budgets(4, splits, (number % 4,), number)
 
 
 def test_transfer_is_limited_to_requests():
