--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -55,7 +55,7 @@
         return next(side for side in self.groups if name in side)
 
 
-class World(Transport):
+class LedgerWorld(Transport):
     """Ledgers whose clocks run at different rates."""
 
     def __init__(self, size: int, seed: int, drift: float = 0.009) -> None:
@@ -107,9 +107,9 @@
         assert all(BASE - LENDABLE <= part <= BASE + LENDABLE for part in parts.values())
 
 
-def run_ledgers(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> World:
+def run_ledgers(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> LedgerWorld:
     """Run all connected until the hold after a restart is over, then with each partition for a while."""
-    world = World(size, seed)
+    world = LedgerWorld(size, seed)
     left = {name: 0.0 if number in busy else 1.0 for number, name in enumerate(world.names)}
     for _ in range(LOAN_PERIODS + 1):
         world.period({name: 1.0 for name in world.names})
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
-from ledger_world import PERIOD, World, partitions, run_budgets, run_ledgers
+from ledger_world import PERIOD, LedgerWorld, partitions, run_budgets, run_ledgers
 
 from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS_PER_RETRY, BudgetTransfer
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
@@ -37,7 +37,7 @@
 @given(size=st.integers(2, 8), seed=st.integers(0, 10**6), data=st.data())
 @settings(max_examples=60, deadline=None, derandomize=True)
 def test_random_partitions_restarts_and_loads(size, seed, data):
-    world = World(size, seed)
+    world = LedgerWorld(size, seed)
     for _ in range(data.draw(st.integers(5, 40))):
         match data.draw(st.sampled_from(["go", "go", "go", "split", "heal", "restart"])):
             case "split":
@@ -51,7 +51,7 @@
 
 
 def test_busy_member_borrows_and_returns():
-    world = World(3, 1, drift=0)
+    world = LedgerWorld(3, 1, drift=0)
     world.send = lambda *message: world.in_flight.append((world.time, message))
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
@@ -92,7 +92,7 @@
 
 
 def test_restarted_lender_withholds_lent_units():
-    world = World(2, 1, drift=0)
+    world = LedgerWorld(2, 1, drift=0)
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     world.start("m1")
