--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -12,7 +12,7 @@
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor
 from carthinge.model import Simulation
-from carthinge.model.agenda import MICROSECOND, micros
+from carthinge.model.virtual_clock import MICROSECOND, micros
 from carthinge.scheduler.fleet_adapter import FleetAdapter
 
 DELAY_US = 500  # of a message
--- a/carthinge/model/clients.py
+++ b/carthinge/model/clients.py
@@ -8,9 +8,9 @@
 from typing import Protocol
 
 from carthinge import interface as io
-from carthinge.model.agenda import SECOND, VirtualClock, micros
 from carthinge.model.scheduler import Scheduler, TrackedRequest
 from carthinge.model.tally import JobOutcome, Tally
+from carthinge.model.virtual_clock import SECOND, VirtualClock, micros
 from carthinge.model.world import World, lognormal
 
 QUOTA_BURST_SECONDS = 3.0  # burst of a tenant that still counts as within its quota
--- a/carthinge/model/play.py
+++ b/carthinge/model/play.py
@@ -8,10 +8,10 @@
 from typing import Final
 
 from carthinge import interface as io
-from carthinge.model.agenda import SECOND, VirtualClock, micros
 from carthinge.model.clients import ClientRequest, ModelClients
 from carthinge.model.scheduler import Factory, Scheduler
 from carthinge.model.tally import Tally
+from carthinge.model.virtual_clock import SECOND, VirtualClock, micros
 from carthinge.model.workers import ModelWorker, ProgramStore, draw_workers
 from carthinge.model.world import FaultKind, SchedulerKill, WorkerFault, WorkerKind, World, lognormal
 from carthinge.policy import Dispatcher
--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -7,8 +7,8 @@
 from typing import Any, Final, Protocol
 
 from carthinge import interface as io
-from carthinge.model.agenda import MICROSECOND, VirtualClock, micros
 from carthinge.model.tally import Tally
+from carthinge.model.virtual_clock import MICROSECOND, VirtualClock, micros
 from carthinge.model.workers import UNRESPONSIVE, ModelWorker
 from carthinge.net.deadlines import answer_deadline
 
--- a/carthinge/model/tally.py
+++ b/carthinge/model/tally.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass, field
 from enum import Enum
 
-from carthinge.model.agenda import SECOND
+from carthinge.model.virtual_clock import SECOND
 
 
 class JobOutcome(Enum):
--- a/carthinge/model/workers.py
+++ b/carthinge/model/workers.py
@@ -9,8 +9,8 @@
 from typing import Final, Protocol
 
 from carthinge import interface as io
-from carthinge.model.agenda import VirtualClock
 from carthinge.model.tally import Tally
+from carthinge.model.virtual_clock import VirtualClock
 from carthinge.model.world import CancelSupport, FaultKind, WorkerKind
 
 DELETE_TIMEOUT_US: Final = 100_000  # a withdrawal that is not answered counts as received after this time
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from carthinge import interface as io
-from carthinge.model.agenda import micros
+from carthinge.model.virtual_clock import micros
 from carthinge.net import request_tracker as real
 from carthinge.net.counters import Counters
 from carthinge.net.loop import Timer
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -31,8 +31,8 @@
     WorkerKind,
     World,
 )
-from carthinge.model.agenda import VirtualClock, micros
 from carthinge.model.scheduler import Scheduler
+from carthinge.model.virtual_clock import VirtualClock, micros
 from carthinge.model.workers import ModelWorker
 from carthinge.net.deadlines import ANSWER_MARGIN
 
