--- a/carthinge/model/__init__.py
+++ b/carthinge/model/__init__.py
@@ -8,7 +8,7 @@
     tally = Simulation(world, seed=1, make=Dispatcher).run()
 """
 
-from carthinge.model.play import Simulation
+from carthinge.model.simulation import Simulation
 from carthinge.model.tally import Tally, Window
 from carthinge.model.world import (
     CancelSupport,
