--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The real program as a process; or within the test's own, for what depends on the order within a turn."""
+"""Fixtures: the scheduler as a process, or in the test process where the order within a turn matters."""
 
 import contextlib
 import json
@@ -14,32 +14,32 @@
 
 pytest_plugins = ["known_red"]
 
-hypothesis.settings.register_profile("everywhere", deadline=None)  # how busy the machine is says nothing
+hypothesis.settings.register_profile("everywhere", deadline=None)  # a busy machine must not fail a test
 hypothesis.settings.register_profile(
     "gate", parent=hypothesis.settings.get_profile("everywhere"), derandomize=True
-)  # there the same examples each time: the same verdict
+)  # CI runs the same examples each time, for the same verdict
 hypothesis.settings.load_profile("gate" if os.environ.get("CI") else "everywhere")
 
 
 @pytest.fixture
 def world(tmp_path, request):
-    """A scheduler with two workers, and the operator's file that the test's module names, if it does."""
+    """A scheduler with two workers, and the OPERATOR_FILE of the test's module, if it has one."""
     with World(tmp_path, workers=2, file=getattr(request.module, "OPERATOR_FILE", None)) as started:
         yield started
 
 
-def nowhere(name):
-    """A worker that is not there, at an address where no other test's stub can be taken for it."""
+def unreachable_worker(name):
+    """Return a worker that does not exist, at an address that no stub of another test can get."""
     return {**member(name, 0), "host_port": f"{HOST}:{free_port()}"}
 
 
 @pytest.fixture
 def make_program(tmp_path):
-    """Programs that have not begun; the test makes their turns."""
-    made = []
+    """Create programs that have not started; the test runs their turns."""
+    programs = []
 
     def make(sockets=1024, settings=SETTINGS, workers=1, file=None):
-        path = tmp_path / f"config-{len(made)}.json"
+        path = tmp_path / f"config-{len(programs)}.json"
         path.write_text(
             json.dumps(
                 {
@@ -52,17 +52,17 @@
                     "known": {
                         "revision": 7,
                         "complete": True,
-                        "members": [nowhere(f"s-{number}") for number in range(workers)],
+                        "members": [unreachable_worker(f"s-{number}") for number in range(workers)],
                     },
                 }
             )
         )
         environment = {"RELAY_CONFIG": str(path), **({"CARTHINGE_FILE": str(file)} if file else {})}
-        made.append(Program(load(environment), lambda before: before))
-        return made[-1]
+        programs.append(Program(load(environment), lambda before: before))
+        return programs[-1]
 
     yield make
-    for program in made:
+    for program in programs:
         program.watch.stop()
         program.frontend.close()
         program.loop.close()
@@ -70,7 +70,7 @@
 
 @pytest.fixture
 def serve(make_program):
-    """The same, serving."""
+    """Create programs and run them until they serve."""
 
     def serve(**more):
         program = make_program(**more)
@@ -84,12 +84,12 @@
 
 @pytest.fixture
 def dial():
-    """A client that connects to a program of the test's own process."""
-    with contextlib.ExitStack() as opened:
+    """Connect clients to a program in the test process."""
+    with contextlib.ExitStack() as stack:
 
         def dial(program):
             listen = program.config.listen
-            sock = opened.enter_context(socket.create_connection((listen.host, listen.port)))
+            sock = stack.enter_context(socket.create_connection((listen.host, listen.port)))
             return Peer(sock)
 
         yield dial
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""Faults at the seam of the socket calls, and time that goes on at a test's word."""
+"""Injected faults in socket calls, and a clock that a test controls."""
 
 import contextlib
 import errno
@@ -23,65 +23,65 @@
 
 
 class FaultySockets(Sockets):
-    """The real calls; some of them fail first, or something happens right before or after them."""
+    """Makes the real calls; a test can make the next ones fail, or run a hook right before or after them."""
 
     def __init__(self):
-        self.made = defaultdict(int)  # calls, the failed ones included
+        self.made = defaultdict(int)  # calls by name, including the failed ones
         self._faults = defaultdict(deque)
         self._before = defaultdict(deque)
         self._after = defaultdict(deque)
 
     def fail(self, call, *errors):
-        """The next calls of that name fail so, one after the other."""
+        """Make the next calls of that name fail with these errors, one after the other."""
         self._faults[call].extend(errors)
 
     def before(self, call, hook):
-        """``hook`` is called with the arguments of the next such call, right before it."""
+        """Call ``hook`` with the arguments of the next call of that name, right before it."""
         self._before[call].append(hook)
 
     def after(self, call, hook):
-        """The same right after it."""
+        """Call ``hook`` likewise, right after the call."""
         self._after[call].append(hook)
 
     def left(self, call):
-        """Faults that have not come up yet."""
+        """Return how many faults of that call are still to come."""
         return len(self._faults[call])
 
-    def _made(self, call, *given):
+    def _make_call(self, call, *arguments):
         self.made[call] += 1
         if self._before[call]:
-            self._before[call].popleft()(*given)
+            self._before[call].popleft()(*arguments)
         if self._faults[call]:
             error = self._faults[call].popleft()
             raise OSError(error, os.strerror(error))
-        result = getattr(super(), call)(*given)
+        result = getattr(super(), call)(*arguments)
         if self._after[call]:
-            self._after[call].popleft()(*given)
+            self._after[call].popleft()(*arguments)
         return result
 
 
-def _through(call):
-    return lambda self, *given: FaultySockets._made(self, call, *given)
+def _wrapped(call):
+    return lambda self, *arguments: FaultySockets._make_call(self, call, *arguments)
 
 
 for _call in CALLS:
-    setattr(FaultySockets, _call, _through(_call))
+    setattr(FaultySockets, _call, _wrapped(_call))
 
 
 def faulty(program):
-    """Puts faults between a program of the test's own process and its sockets."""
+    """Replace the socket calls of a program in the test process by faulty ones; return them."""
     program.loop.sockets = FaultySockets()
     return program.loop.sockets
 
 
-def let_pass(program, span):
-    """So much time passes at once, for the program alone."""
-    program.loop.clock.HISTORY += span
+def let_pass(program, duration):
+    """Advance the program's clock, and no other."""
+    program.loop.clock.HISTORY += duration
 
 
 @contextlib.contextmanager
 def clock_stopped(program):
-    """No time passes for the program meanwhile, however busy this machine is."""
+    """Stop the program's clock meanwhile, however busy the machine is."""
     clock = program.loop.clock
     stopped = clock.now()
     clock.now = lambda: stopped
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small settings and shorthands for tests of the module."""
+"""Settings and shorthands for tests of the decision module."""
 
 import os
 import subprocess
@@ -20,8 +20,8 @@
 WORTHLESS_LATE = io.JobClass(objective=100_000, deadline=5_000_000)
 
 
-def settings(*classes, **more):
-    given = {
+def settings(*classes, **overrides):
+    defaults = {
         "classes": classes or (SAFE,),
         "tenants": (io.Tenant(0.5), io.Tenant(0.5)),
         "try_limit": 4,
@@ -37,7 +37,7 @@
         "ask_within": 10_000_000,
         "kinds": 2,
     }
-    return io.Settings(**{**given, **more})
+    return io.Settings(**{**defaults, **overrides})
 
 
 def listing(*workers, kind=io.Listing.CACHED):
@@ -46,9 +46,9 @@
 
 
 def started(config, *workers, seed=1):
-    gateway = Dispatcher(config, seed)
-    gateway.handle(0, [listing(*workers)])
-    return gateway
+    dispatcher = Dispatcher(config, seed)
+    dispatcher.handle(0, [listing(*workers)])
+    return dispatcher
 
 
 def arrival(request=1, job_class=0, now=0, hint=50_000, **more):
@@ -71,15 +71,15 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def serve(gateway, count, every):
-    """Jobs one after the other, each served at once wherever it is sent."""
+def serve(dispatcher, count, every):
+    """Send jobs one after the other; each is served at once by the worker that it is sent to."""
     for step in range(count):
-        sends = of(io.Send, gateway.handle(step * every, [arrival(step, now=step * every)]))
-        gateway.handle(step * every + 1, [outcome(step, 0, s.worker, io.Result.OK, 50_000) for s in sends])
+        sends = of(io.Send, dispatcher.handle(step * every, [arrival(step, now=step * every)]))
+        dispatcher.handle(step * every + 1, [outcome(step, 0, s.worker, io.Result.OK, 50_000) for s in sends])
 
 
 def run_adapter(data, hash_seed="0"):
-    """The adapter process on these bytes of input."""
+    """Run the adapter process on the given input."""
     return subprocess.run(
         [sys.executable, "-m", "carthinge.benchlink"],
         input=data,
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -1,4 +1,4 @@
-"""A program that runs in the test's own process, turn by turn, and the stubs around it."""
+"""Shorthands for tests of a program that runs in the test process, turn by turn."""
 
 import select
 import signal
@@ -10,14 +10,14 @@
 from carthinge.net.members import Listed, Member
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-WAIT = 10  # seconds, for anything to happen; nothing in these tests takes nearly as long
+WAIT = 10  # seconds; no expected event in these tests takes nearly as long
 
 
-def turns(program, until):
-    """Turns that do not wait, until that holds; the other side's bytes need a moment on loopback."""
-    end = time.monotonic() + WAIT
-    while not until():
-        assert time.monotonic() < end
+def turns(program, condition):
+    """Run turns without waiting until the condition holds; bytes on loopback take a moment to arrive."""
+    deadline = time.monotonic() + WAIT
+    while not condition():
+        assert time.monotonic() < deadline
         program.loop.turn(idle=False)
         program.tracker.decide()
 
@@ -27,31 +27,31 @@
 
 
 def lists(program, *members):
-    """Discovery has named these workers, and no others."""
-    listed = Listed(revision=99, members=[Member(**each) for each in members])
+    """Give the program a complete list of workers, as discovery would."""
+    listed = Listed(revision=99, members=[Member(**fields) for fields in members])
     program.watch._tell(program.table.take(listed, Listing.WHOLE))
 
 
 def taken(listener, program):
-    """The next connection that a stub worker gets, while the program goes on with its turns."""
+    """Run turns until a stub worker gets a connection; return it."""
     turns(program, lambda: readable(listener.sock))
     return listener.accept()
 
 
 def reading(peer, program):
-    """The next request or answer that a stub gets, likewise."""
+    """Run turns until a stub gets a request or an answer; return it."""
     turns(program, lambda: readable(peer.sock))
     return peer.read()
 
 
 def call_back(worker, job_id, state="done", result=""):
-    """What a worker tells of a job, as bytes."""
+    """Return the callback of a worker about a job, as bytes."""
     body = f'{{"id":"{job_id}","from":"{worker}","state":"{state}","result":"{result}"}}'.encode()
     return b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
 def drained(program):
-    """Told to end, and past the time for which clients are kept."""
+    """Stop the program by SIGTERM, and advance its clock until it no longer keeps connections alive."""
     program._signalled(bytes((signal.SIGTERM,)))
     program.loop.turn(idle=False)
     let_pass(program, program.frontend.draining.kept_until - program.loop.clock.now())
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A loopback relay between schedulers that talk: it loses, repeats, delays and cuts datagrams by seed."""
+"""A loopback relay of the schedulers' datagrams: it drops, duplicates, delays and blocks them by seed."""
 
 import contextlib
 import random
@@ -12,21 +12,21 @@
 
 
 class Relay:
-    """Each scheduler listens at an address of its own and is known to the others by one of the relay's."""
+    """Each scheduler listens at its own address and advertises one of the relay's to the others."""
 
     def __init__(self, count, seed=1, loss=0.0, twice=0.0, delay=0.0):
-        """``delay``: at the most, in seconds; what is delayed less overtakes."""
-        self.rough = (loss, twice, delay)
-        self.fronts = [self._bound() for _ in range(count)]
-        held = [self._bound() for _ in range(count)]
-        self.homes = [sock.getsockname() for sock in held]
-        for sock in held:
+        """``delay``: the maximum, in seconds; delays differ, so that datagrams are reordered."""
+        self.fault_rates = (loss, twice, delay)
+        self.relay_sockets = [self._bound() for _ in range(count)]
+        bound = [self._bound() for _ in range(count)]
+        self.homes = [sock.getsockname() for sock in bound]
+        for sock in bound:
             sock.close()
-        self.cuts = set()  # pairs of numbers: from the first to the second nothing passes
+        self.cuts = set()  # pairs (sender, receiver) of scheduler numbers between which nothing is passed on
         self.passed = 0
         self._rng = random.Random(seed)
-        self._late = []
-        self._over = False
+        self._delayed = []
+        self._stopped = False
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     @staticmethod
@@ -36,11 +36,11 @@
         return sock
 
     def file(self, number, period=0.1, key_file=""):
-        """What the operator's file of that scheduler says."""
-        fronts = ["{}:{}".format(*sock.getsockname()) for sock in self.fronts]
+        """Return the text of that scheduler's operator file."""
+        addresses = ["{}:{}".format(*sock.getsockname()) for sock in self.relay_sockets]
         home = "{}:{}".format(*self.homes[number])
         return (
-            f"[fleet]\nlisten = '{home}'\nadvertise = '{fronts[number]}'\nmembers = {fronts}\n"
+            f"[fleet]\nlisten = '{home}'\nadvertise = '{addresses[number]}'\nmembers = {addresses}\n"
             f"period = {period}\nkey_file = '{key_file}'\n"
         )
 
@@ -52,27 +52,27 @@
         return self
 
     def __exit__(self, *_):
-        self._over = True
+        self._stopped = True
         self._thread.join()
-        for sock in self.fronts:
+        for sock in self.relay_sockets:
             sock.close()
 
     def _run(self):
-        while not self._over:
-            loss, twice, delay = self.rough
-            wait = min(0.05, max(0.0, self._late[0][0] - time.monotonic())) if self._late else 0.05
-            for sock in select.select(self.fronts, [], [], wait)[0]:
+        while not self._stopped:
+            loss, twice, delay = self.fault_rates
+            wait = min(0.05, max(0.0, self._delayed[0][0] - time.monotonic())) if self._delayed else 0.05
+            for sock in select.select(self.relay_sockets, [], [], wait)[0]:
                 data, source = sock.recvfrom(2048)
-                to = self.fronts.index(sock)
+                to = self.relay_sockets.index(sock)
                 sender = self.homes.index(source) if source in self.homes else None
                 if (sender, to) in self.cuts:
                     continue
                 for _ in range(1 + (self._rng.random() < twice)):
                     if self._rng.random() >= loss:
                         due = time.monotonic() + self._rng.random() * delay
-                        heappush(self._late, (due, self._rng.random(), to, data))
-            while self._late and self._late[0][0] <= time.monotonic():
-                _, _, to, data = heappop(self._late)
+                        heappush(self._delayed, (due, self._rng.random(), to, data))
+            while self._delayed and self._delayed[0][0] <= time.monotonic():
+                _, _, to, data = heappop(self._delayed)
                 with contextlib.suppress(ConnectionRefusedError):
-                    self.fronts[to].sendto(data, self.homes[to])
+                    self.relay_sockets[to].sendto(data, self.homes[to])
                 self.passed += 1
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's library example runs as it stands there."""
+"""The README's library example runs unchanged."""
 
 import re
 from pathlib import Path
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""The world around one real scheduler process, scripted step by step on loopback with blocking sockets."""
+"""A scheduler process with stub workers and a stub discovery, driven by blocking loopback sockets."""
 
 import contextlib
 import json
@@ -11,14 +11,14 @@
 import time
 from pathlib import Path
 
-#: The scheduler's own address, so that a port found free here is not taken before it listens there.
+#: A loopback address of this test process's own: no other process takes a port that was found free on it.
 HOST = "127.77.{}.{}".format(*divmod(os.getpid() % 65000 + 256, 256))
-WAIT = 10.0  # for anything to happen; nothing in these tests takes nearly as long
+WAIT = 10.0  # seconds; no expected event in these tests takes nearly as long
 SETTINGS = json.loads(Path(__file__).with_name("site.json").read_text())
 
 
 class Peer:
-    """One connection, read message by message: (first line, headers, body)."""
+    """A connection that is read message by message, as (start line, headers, body)."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -32,7 +32,7 @@
     def read(self):
         first = self.file.readline().decode().strip()
         if not first:
-            raise EOFError("the other side has ended the connection")
+            raise EOFError("the peer closed the connection")
         headers = {}
         while line := self.file.readline().decode().strip():
             name, value = line.split(": ", 1)
@@ -43,7 +43,7 @@
         return int(self.read()[0].split()[1])
 
     def ended(self):
-        """Waits for the other side to end the connection; True where nothing came before that."""
+        """Wait until the peer closes the connection; return whether it sent nothing before that."""
         try:
             return self.file.read(1) == b""
         except ConnectionResetError:
@@ -60,7 +60,7 @@
 
 
 class Listener:
-    """A worker or discovery: takes connections in, one at a time."""
+    """A stub worker or stub discovery, which accepts connections one at a time."""
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -75,9 +75,9 @@
 
 
 def free_ports(count):
-    """Several at once: one that is let go of may be found free again."""
-    with contextlib.ExitStack() as held:
-        return [held.enter_context(socket.create_server((HOST, 0))).getsockname()[1] for _ in range(count)]
+    """Find several ports at once: a port found alone may be found again once it is released."""
+    with contextlib.ExitStack() as stack:
+        return [stack.enter_context(socket.create_server((HOST, 0))).getsockname()[1] for _ in range(count)]
 
 
 def free_port():
@@ -112,15 +112,15 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def readable_of(socks):
-    """Those of the sockets that have something to be read, once one has.
+def wait_readable(socks):
+    """Wait until a socket is readable; return all that are.
 
-    select() takes no descriptor above 1,023, and a test that runs long enough has opened as many.
+    select() takes no descriptor above 1,023, and a long test opens more than that.
     """
-    poll, by_number = select.poll(), {sock.fileno(): sock for sock in socks}
-    for number in by_number:
-        poll.register(number, select.POLLIN)
-    return [by_number[number] for number, _ in poll.poll(WAIT * 1000)]
+    poll, by_descriptor = select.poll(), {sock.fileno(): sock for sock in socks}
+    for descriptor in by_descriptor:
+        poll.register(descriptor, select.POLLIN)
+    return [by_descriptor[descriptor] for descriptor, _ in poll.poll(WAIT * 1000)]
 
 
 class World:
@@ -138,16 +138,18 @@
         file=None,
         name="n0",
     ):
-        """``held``: the listening socket is opened here and inherited, as a platform does for upgrades.
+        """Start the stubs and the scheduler.
 
-        ``file``: what the operator's own file says; ``{folder}`` in it stands for a store's folder."""
+        ``held``: the listening socket is opened here and inherited, as a platform does for upgrades.
+        ``file``: the text of the operator's file; ``{folder}`` in it stands for the store's folder.
+        """
         self.port, self.operator = free_ports(2)
         self.held = socket.create_server((HOST, self.port), backlog=1024) if held else None
         self.discovery = Listener()
         self.workers = [Listener() for _ in range(workers)]
         self.names = [f"s-{number}" for number in range(workers)]
         self.opened = []
-        self.kept = {}  # workers' sockets, each with its worker's number and its connection
+        self.kept = {}  # accepted sockets of workers: the worker's number and the connection
         zones = (settings or SETTINGS)["zones"] or ["hall"]
         members = [
             member(name, worker.port, zone=zones[number % len(zones)], cell=number % len(zones))
@@ -177,7 +179,7 @@
         self.wait_until_up()
 
     def start(self, **environment):
-        """Another process of this scheduler."""
+        """Start another process of this scheduler."""
         command = [sys.executable, "-m", "carthinge", "serve", "--log-level", "debug"]
         environment = {
             **os.environ,
@@ -197,31 +199,33 @@
         return process
 
     def kill(self):
-        """As a crash does: nothing more is said."""
+        """End the process by SIGKILL, as a crash would."""
         self.process.kill()
         self.process.wait()
 
     def restart(self):
-        """After it has ended, another one in its place."""
+        """Start another process after the previous one has ended."""
         self.process = self.start()
         self.wait_until_up()
 
     def upgrade(self):
-        """Starts a new process beside the one that serves, and waits for its yes; the old one and its
-        operators' address are returned."""
-        old = self.process, self.operator
+        """Start a successor of the serving process and wait until it is ready.
+
+        Return the predecessor and the port of its operator address.
+        """
+        predecessor = self.process, self.operator
         self.operator = free_port()
         self.process = self.start(RELAY_OPERATOR=f"{HOST}:{self.operator}")
         self.wait_until_ready()
-        return old
+        return predecessor
 
     def wait_until_ready(self):
-        until = time.monotonic() + WAIT
-        while time.monotonic() < until:
+        deadline = time.monotonic() + WAIT
+        while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
                 if self.operate("/ready")[0] == 200:
                     return
-            time.sleep(0.01)  # between tries: nothing tells that a process listens
+            time.sleep(0.01)  # nothing signals that a process listens
         raise AssertionError(f"not ready: {self.log()}")
 
     def __enter__(self):
@@ -235,13 +239,13 @@
             peer.close()
 
     def wait_until_up(self):
-        """Until it answers; whether it is up is another matter."""
-        until = time.monotonic() + WAIT
-        while time.monotonic() < until:
+        """Wait until the scheduler answers, whether or not it is ready."""
+        deadline = time.monotonic() + WAIT
+        while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
                 self.counters()
                 return
-            time.sleep(0.02)  # between tries: nothing tells that a process listens
+            time.sleep(0.02)  # nothing signals that a process listens
         raise AssertionError(f"not up: {self.log()}")
 
     def connect(self):
@@ -261,11 +265,11 @@
         return peer
 
     def take(self):
-        """The next request that comes to any worker: that worker's number, the connection, the request."""
-        until = time.monotonic() + WAIT
-        while time.monotonic() < until:
+        """Return the next request to any worker: the worker's number, the connection and the request."""
+        deadline = time.monotonic() + WAIT
+        while time.monotonic() < deadline:
             listeners = {worker.sock: number for number, worker in enumerate(self.workers)}
-            ready = readable_of([*listeners, *self.kept])
+            ready = wait_readable([*listeners, *self.kept])
             for sock in ready:
                 if sock in listeners:
                     peer = self.accept(self.workers[listeners[sock]])
@@ -278,14 +282,14 @@
         raise AssertionError(f"no request came to a worker: {self.log()}")
 
     def watched(self):
-        """Discovery's connection with the first call on it."""
+        """Accept a connection to discovery; return it and the start line of the first call on it."""
         peer = self.accept(self.discovery)
         return peer, peer.read()[0]
 
     def tell(self, req_id, state, worker=0, **more):
         body = json.dumps({"id": req_id, "from": self.names[worker], "state": state, **more}).encode()
         head = f"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
-        for _ in range(9):  # a worker calls again until it gets an answer, at most ten times
+        for _ in range(9):  # a worker repeats a callback until it gets an answer, at most ten times
             with contextlib.suppress(EOFError, ConnectionResetError):
                 return self.connect().send(head.encode() + body).status()
             time.sleep(0.05)
@@ -295,13 +299,13 @@
         return json.loads(self.ask("GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")[2])
 
     def call(self):
-        """A connection to the operators' address."""
+        """Connect to the operator address."""
         peer = Peer(socket.create_connection((HOST, self.operator), WAIT))
         self.opened.append(peer)
         return peer
 
     def operate(self, path, method="GET"):
-        """One call of an operator: its status and its body, asked for at ``operator``."""
+        """Send a request to the operator address; return the status and the body of its answer."""
         first, _, body = self.call().send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).read()
         return int(first.split()[1]), body
 
@@ -312,7 +316,7 @@
         return json.loads(self.operate("/metrics")[1])
 
     def reload(self, discovery):
-        """Replaces the configuration's discovery (or its settings, or all of it by a text); sends SIGHUP."""
+        """Replace the configuration's discovery, its settings (a dict) or all of it (a str); send SIGHUP."""
         text = discovery
         if isinstance(discovery, dict):
             text = json.dumps({**self.config, "settings": discovery})
@@ -322,10 +326,10 @@
         self.process.send_signal(signal.SIGHUP)
 
     def wait_for_log(self, text):
-        """Where a log line is all that can be seen from outside."""
-        until = time.monotonic() + WAIT
+        """Wait for a log line; for events that are visible from outside in the log only."""
+        deadline = time.monotonic() + WAIT
         while text not in self.log():
-            assert time.monotonic() < until, f"no {text!r} in {self.log()}"
+            assert time.monotonic() < deadline, f"no {text!r} in {self.log()}"
             time.sleep(0.01)
 
     def terminate(self):
@@ -340,7 +344,7 @@
 
 
 def serve_next(world, req_id, result="r", state="done"):
-    """Takes the next job at whatever worker it comes to, and reports its end."""
+    """Accept the next job at the worker that gets it, and report its end."""
     number, peer, _ = world.take()
     peer.answer(202)
     assert world.tell(req_id, state, number, result=result) == 204
