--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A few dozen real schedulers under random, overlapping faults, judged by what must always hold."""
+"""Runs a few dozen scheduler processes under random, overlapping faults and checks invariants on them."""
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients: most of them well-behaved, some that leave, write slowly, stop in the middle, or say nothing."""
+"""Clients: most behave well; some leave, write slowly, stop in the middle of a request or stay silent."""
 
 from __future__ import annotations
 
@@ -8,83 +8,88 @@
 
 from world import HOST
 
-from soak.http import read_message, request
-from soak.ledger import OWED_END, Asked
-from soak.nodes import ARRIVING
+from soak.http import encode_request, read_message
+from soak.ledger import SILENT_CLIENT_LIMIT, Request
+from soak.nodes import CONNECT_AFTER_TERM
 
-KEPT_MOST = 6  # connections of one client
-PAUSE = 0.05  # seconds between requests of one client, in the mean
-WAYS = ("usual",) * 12 + ("leave", "slow", "half", "silent", "tiny", "ahead")
+MAX_IDLE = 6  # idle connections of one client
+MEAN_PAUSE = 0.05  # mean seconds between requests of one client
+BEHAVIOURS = ("usual",) * 12 + ("leave", "slow", "half", "silent", "tiny", "ahead")
 
 
 class Client:
     def __init__(self, run, number):
         self.run, self.number = run, number
         self.rng = run.rng
-        self.kept = {}  # connections, by node
+        self.idle = {}  # idle connections by node
         self.count = 0
 
-    async def go_on(self):
-        while not self.run.over:
-            await asyncio.sleep(self.rng.expovariate(1 / PAUSE))
-            way = self.rng.choice(WAYS)
-            if way in ("half", "silent"):
-                await self.misbehave(way)
+    async def send_requests(self):
+        while not self.run.finished:
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_PAUSE))
+            behaviour = self.rng.choice(BEHAVIOURS)
+            if behaviour in ("half", "silent"):
+                await self.misbehave(behaviour)
             else:
-                await self.ask(way)
-        for _, writer in self.kept.values():
+                await self.ask(behaviour)
+        for _, writer in self.idle.values():
             writer.close()
 
-    def new_asked(self, node, way, like=None):
+    def new_request(self, node, behaviour, like=None):
         self.count += 1
         kind = self.rng.choice(list(self.run.ledger.classes))
-        most = self.run.ledger.classes[kind]["hard_limit"] / 1e6
-        patience = self.rng.uniform(0.02, 0.06) if way == "tiny" else most * self.rng.uniform(0.4, 1.0)
+        longest = self.run.ledger.classes[kind]["hard_limit"] / 1e6
+        timeout = (
+            self.rng.uniform(0.02, 0.06) if behaviour == "tiny" else longest * self.rng.uniform(0.4, 1.0)
+        )
         if like is not None:
-            kind, patience = like.kind, like.patience
-        asked = Asked(f"{kind}.{self.run.plan.seed}-{self.number}-{self.count}", kind, node.number, patience)
-        asked.durable = kind == "reindex" and node.durable
-        self.run.ledger.asked[asked.id] = asked
-        return asked
+            kind, timeout = like.kind, like.timeout
+        request = Request(
+            f"{kind}.{self.run.plan.seed}-{self.number}-{self.count}", kind, node.number, timeout
+        )
+        request.durable = kind == "reindex" and node.durable
+        self.run.ledger.requests[request.id] = request
+        return request
 
     async def connection(self):
-        """A node, a connection to it, and whether that is a new one."""
-        if self.kept and self.rng.random() < 0.7:
-            number = self.rng.choice(list(self.kept))
-            return self.run.nodes[number], self.kept.pop(number), False
+        """Return a node, a connection to it, and whether the connection is new."""
+        if self.idle and self.rng.random() < 0.7:
+            number = self.rng.choice(list(self.idle))
+            return self.run.nodes[number], self.idle.pop(number), False
         now = time.monotonic()
         open_nodes = [
             node
             for node in self.run.nodes
-            if node.ready or (node.told_to_end is not None and now < node.told_to_end + ARRIVING)
+            if node.ready
+            or (node.terminated_at is not None and now < node.terminated_at + CONNECT_AFTER_TERM)
         ]
         node = self.rng.choice(open_nodes or self.run.nodes)
         return node, await asyncio.open_connection(HOST, node.port), True
 
-    async def ask(self, way):
+    async def ask(self, behaviour):
         began = time.monotonic()
         try:
             node, (reader, writer), new = await self.connection()
         except OSError:
-            return  # refused: its machine says so, nothing was taken
-        self.run.streams.add(writer)
-        batch = [self.new_asked(node, way)]
-        if way == "ahead":  # answers keep the order of requests, so that these have the same time
-            batch += [self.new_asked(node, way, batch[0]) for _ in range(2)]
+            return  # refused by the kernel: no request was accepted
+        self.run.writers.add(writer)
+        batch = [self.new_request(node, behaviour)]
+        if behaviour == "ahead":  # answers come in the order of requests, so these have the same timeout
+            batch += [self.new_request(node, behaviour, batch[0]) for _ in range(2)]
         try:
-            keep = await self.exchange(way, batch, node, reader, writer, new, began)
+            keep = await self.exchange(behaviour, batch, node, reader, writer, new, began)
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             keep = False
-        if keep and len(self.kept) < KEPT_MOST and node.number not in self.kept:
-            self.kept[node.number] = (reader, writer)
+        if keep and len(self.idle) < MAX_IDLE and node.number not in self.idle:
+            self.idle[node.number] = (reader, writer)
         else:
-            self.run.streams.discard(writer)
+            self.run.writers.discard(writer)
             writer.close()
 
-    async def exchange(self, way, batch, node, reader, writer, new, began):
-        """Whether the connection can be used again."""
-        data = b"".join(request(asked) for asked in batch)
-        if way == "slow":
+    async def exchange(self, behaviour, batch, node, reader, writer, new, began):
+        """Send requests and read their answers; return whether the connection can be reused."""
+        data = b"".join(encode_request(request) for request in batch)
+        if behaviour == "slow":
             while len(data) > 1:
                 size = self.rng.randint(1, len(data) - 1)
                 writer.write(data[:size])
@@ -92,105 +97,107 @@
                 await asyncio.sleep(self.rng.uniform(0.0, 0.4))
                 if self.rng.random() < 0.3:
                     break
-        for asked in batch:
-            asked.began, asked.sent = began, time.monotonic()
+        for request in batch:
+            request.began, request.sent = began, time.monotonic()
         writer.write(data)
-        if way == "leave":
+        if behaviour == "leave":
             await asyncio.sleep(self.rng.choice([0.0, 0.005, 0.05, 0.3]))
             writer.transport.abort()
-            for asked in batch:
-                asked.left = time.monotonic()
+            for request in batch:
+                request.left = time.monotonic()
             return False
         keep = True
-        for at, asked in enumerate(batch):
-            keep = await self.hear(asked, node, reader, new and at == 0)
+        for at, request in enumerate(batch):
+            keep = await self.read_answer(request, node, reader, new and at == 0)
             if not keep:
-                self.unheard(batch[at + 1 :])
+                self.mark_unanswered(batch[at + 1 :])
                 break
         return keep
 
-    async def hear(self, asked, node, reader, new):
-        """Waits for one answer; whether another may come."""
+    async def read_answer(self, request, node, reader, new):
+        """Wait for one answer; return whether the connection stays open for more."""
         ledger = self.run.ledger
         while True:
             try:
                 line, headers, body = await asyncio.wait_for(read_message(reader), 0.25)
                 break
             except TimeoutError:
-                if ledger.late(asked, time.monotonic()):
-                    if not node.excused(asked, time.monotonic()):
-                        ledger.found(f"{asked.id}: no final answer in its time at node {node.number}")
+                if ledger.is_late(request, time.monotonic()):
+                    if not node.may_have_lost(request, time.monotonic()):
+                        ledger.report(f"{request.id}: no final answer by its deadline at node {node.number}")
                     return False
             except (OSError, asyncio.IncompleteReadError) as fault:
-                self.broken(asked, node, new, fault)
+                self.check_lost_connection(request, node, new, fault)
                 return False
         now = time.monotonic()
-        if ledger.late(asked, now):
-            ledger.found(f"{asked.id}: answered {now - asked.sent - asked.patience:.3f} s after its time")
-        ledger.answered(asked, int(line.split()[1]), body)
+        if ledger.is_late(request, now):
+            ledger.report(
+                f"{request.id}: answered {now - request.sent - request.timeout:.3f} s after its deadline"
+            )
+        ledger.record_answer(request, int(line.split()[1]), body)
         return headers.get("connection") != "close"
 
-    def broken(self, asked, node, new, fault):
-        """The connection has ended with no answer."""
+    def check_lost_connection(self, request, node, new, fault):
+        """Check a connection that ended without an answer."""
         ledger, now = self.run.ledger, time.monotonic()
-        if node.excused(asked, now):
+        if node.may_have_lost(request, now):
             return
-        asked.unread = asked.forwarded is None
-        if asked.forwarded is not None:
-            ledger.found(
-                f"{asked.id}: its connection ended unanswered at node {node.number}, and it was sent on"
+        request.unread = request.forwarded is None
+        if request.forwarded is not None:
+            ledger.report(
+                f"{request.id}: its connection ended unanswered at node {node.number}, though forwarded"
             )
-        elif new and not self.run.plan.crowd:  # where idle clients fill the descriptors it may be shut unread
-            took = f"{fault!r} after {now - asked.sent:.3f} s"
-            ledger.found(f"{asked.id}: a new connection ended unanswered at node {node.number}: {took}")
+        elif new and not self.run.plan.idle_groups:  # idle clients may use up the descriptors
+            took = f"{fault!r} after {now - request.sent:.3f} s"
+            ledger.report(f"{request.id}: a new connection ended unanswered at node {node.number}: {took}")
 
-    def unheard(self, batch):
-        """What was sent ahead, behind an answer that ended the connection."""
-        for asked in batch:
-            asked.left = time.monotonic()
+    def mark_unanswered(self, batch):
+        """Record that pipelined requests get no answer after one that closed the connection."""
+        for request in batch:
+            request.left = time.monotonic()
 
-    # ---- the others -------------------------------------------------------------------------
+    # ---- misbehaving clients -----------------------------------------------------------------
 
-    async def misbehave(self, way):
+    async def misbehave(self, behaviour):
         try:
             node, (reader, writer), new = await self.connection()
         except OSError:
             return
-        self.run.streams.add(writer)
+        self.run.writers.add(writer)
         began = time.monotonic()
         with contextlib.suppress(OSError):
-            if way == "half":
-                data = request(Asked(f"half-{self.number}", "query", node.number, 1.0))
+            if behaviour == "half":
+                data = encode_request(Request(f"half-{self.number}", "query", node.number, 1.0))
                 writer.write(data[: self.rng.randint(1, len(data) - 1)])
-            if way == "half" or new:
-                await self.wait_for_end(reader, node, way, began)
-        self.run.streams.discard(writer)
+            if behaviour == "half" or new:
+                await self.wait_for_end(reader, node, behaviour, began)
+        self.run.writers.discard(writer)
         writer.close()
 
-    async def wait_for_end(self, reader, node, way, began):
+    async def wait_for_end(self, reader, node, behaviour, began):
         with contextlib.suppress(TimeoutError, OSError):
-            await asyncio.wait_for(reader.read(1), OWED_END + 3)
+            await asyncio.wait_for(reader.read(1), SILENT_CLIENT_LIMIT + 3)
         took = time.monotonic() - began
-        if took > OWED_END + self.run.ledger.lag:
-            self.run.ledger.found(
-                f"a {way} client at node {node.number} has neither error nor close in {took:.3f} s"
+        if took > SILENT_CLIENT_LIMIT + self.run.ledger.lag:
+            self.run.ledger.report(
+                f"a {behaviour} client at node {node.number} got neither an error nor a close in {took:.3f} s"
             )
 
 
-async def crowd(run):
-    """Idle clients that hold connections, as many as there may be, and come again where they are shut out."""
+async def hold_idle_connections(run):
+    """Run clients that hold idle connections, and connect again when these are closed."""
 
     async def hold():
-        while not run.over:
+        while not run.finished:
             with contextlib.suppress(OSError, TimeoutError):
                 node = run.rng.choice(run.nodes)
                 reader, writer = await asyncio.open_connection(HOST, node.port)
-                run.streams.add(writer)
+                run.writers.add(writer)
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 with contextlib.suppress(asyncio.IncompleteReadError):
                     await asyncio.wait_for(reader.read(-1), run.rng.uniform(0.5, 5.0))
-                run.streams.discard(writer)
+                run.writers.discard(writer)
                 writer.close()
             await asyncio.sleep(0.01)
 
-    await asyncio.gather(*(hold() for _ in range(run.plan.crowd * 20)))
+    await asyncio.gather(*(hold() for _ in range(run.plan.idle_groups * 20)))
--- a/tests/soak/durable.py
+++ b/tests/soak/durable.py
@@ -1,4 +1,4 @@
-"""Jobs that were taken on by a scheduler whose folder lasts: each is owed its end, whatever happens."""
+"""Durable jobs: each one that a scheduler has accepted must end, whatever faults occur."""
 
 from __future__ import annotations
 
@@ -8,37 +8,39 @@
 
 from world import HOST
 
-from soak.http import read_message, request
-from soak.ledger import Asked
+from soak.http import encode_request, read_message
+from soak.ledger import Request
 
-PATIENCE = 30.0  # seconds: of a job that nobody waits for in place
-PAUSE = 0.3  # seconds between jobs
-COLLECT_WITHIN = 30.0  # seconds after the last fault
+JOB_TIMEOUT = 30.0  # seconds; the client does not wait on the connection
+SUBMIT_INTERVAL = 0.3  # seconds between jobs
+COLLECT_TIMEOUT = 30.0  # seconds after the last fault
 
 
 class DurableClient:
-    """Hands jobs in to one scheduler, and asks for all of them at the end."""
+    """Submits jobs to one scheduler and collects the results at the end."""
 
     def __init__(self, run, node):
         self.run, self.node = run, node
-        self.taken_on = {}  # where each job that was answered 202 is asked for
+        self.accepted = {}  # by job answered with 202: the path of its state
 
-    async def go_on(self):
+    async def send_requests(self):
         count = 0
-        while not self.run.over:
+        while not self.run.finished:
             count += 1
-            asked = Asked(f"reindex.d{self.node.number}-{count}", "reindex", self.node.number, PATIENCE)
-            asked.durable, asked.sent = True, time.monotonic()
-            self.run.ledger.asked[asked.id] = asked
+            request = Request(
+                f"reindex.d{self.node.number}-{count}", "reindex", self.node.number, JOB_TIMEOUT
+            )
+            request.durable, request.sent = True, time.monotonic()
+            self.run.ledger.requests[request.id] = request
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-                line, headers, body = await self.call(request(asked, ["Prefer: respond-async"]))
+                line, headers, body = await self.send(encode_request(request, ["Prefer: respond-async"]))
                 if " 202 " in line:
-                    self.taken_on[asked.id] = headers["location"]
+                    self.accepted[request.id] = headers["location"]
                 elif " 503 " not in line:
-                    self.run.ledger.found(f"{asked.id}: {line} {body[:80]!r}")
-            await asyncio.sleep(PAUSE)
+                    self.run.ledger.report(f"{request.id}: {line} {body[:80]!r}")
+            await asyncio.sleep(SUBMIT_INTERVAL)
 
-    async def call(self, data):
+    async def send(self, data):
         reader, writer = await asyncio.open_connection(HOST, self.node.port)
         try:
             writer.write(data)
@@ -47,20 +49,20 @@
             writer.close()
 
     async def collect(self):
-        """Asks for all that were taken on."""
-        until = time.monotonic() + COLLECT_WITHIN
-        await asyncio.gather(*(self.collect_one(job, until) for job in self.taken_on))
+        """Wait for the end of all accepted jobs."""
+        deadline = time.monotonic() + COLLECT_TIMEOUT
+        await asyncio.gather(*(self.collect_one(job, deadline) for job in self.accepted))
 
-    async def collect_one(self, job, until):
-        heard = "was never heard of again"
-        call = f"GET {self.taken_on[job]} HTTP/1.1\r\nHost: x\r\nPrefer: wait=3\r\n\r\n".encode()
-        while time.monotonic() < until:
+    async def collect_one(self, job, deadline):
+        last_answer = "never answered"
+        query = f"GET {self.accepted[job]} HTTP/1.1\r\nHost: x\r\nPrefer: wait=3\r\n\r\n".encode()
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-                line, headers, body = await self.call(call)
-                heard = f"{line} {headers.get('job-state')} {body[:60]!r}"
+                line, headers, body = await self.send(query)
+                last_answer = f"{line} {headers.get('job-state')} {body[:60]!r}"
                 if " 200 " in line and body != f"of {job}".encode():
                     break
                 if headers.get("job-state", "open") != "open":
                     return
             await asyncio.sleep(0.1)
-        self.run.ledger.found(f"{job}: was taken on, and {heard} at node {self.node.number}")
+        self.run.ledger.report(f"{job}: was accepted, then {last_answer} at node {self.node.number}")
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""Who is owed what, what workers were given, and what was found broken: the judge of a run."""
+"""Records the requests, attempts and answers of a run, and checks its invariants on them."""
 
 from __future__ import annotations
 
@@ -7,172 +7,181 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-LATE = 0.5  # seconds after its time: by then an answer is lost
-GONE = 0.1  # seconds after its client has left: by then no attempt may begin
-TOLD = 0.15  # seconds more than its client has left may be told to a worker
-OWED_END = 3.0  # seconds, to a client that says nothing or stops in the middle of a request
-RULE_SLACK = 0.05  # seconds, of each limit in time
-HEARD = 6.0  # seconds after discovery had a change and could be reached: by then it counts as told
-LAG_KEPT = 2.0  # seconds, for which this process's own slowness excuses what it has measured
-IN_ORDER = 0.02  # seconds: what two connections bring in an order is read in it by then
-TURNS_READ = 3  # of this process's loop, from an answer's arrival to its being judged
-TURNS_ARRIVED = 8  # the same of a request, perhaps on a new connection: accept, task, first byte, head, body
-MOMENT = 0.05  # seconds around a kill in which what this process has written may not have got there
+MAX_ANSWER_DELAY = 0.5  # seconds after the deadline, from which on an answer counts as missing
+GONE_MARGIN = 0.1  # seconds after the client left, from which on no attempt may begin
+DEADLINE_MARGIN = 0.15  # seconds by which a worker's deadline may exceed the client's remaining time
+SILENT_CLIENT_LIMIT = 3.0  # seconds until a client silent before or in a request gets an error or a close
+TIME_TOLERANCE = 0.05  # seconds of tolerance on each time limit
+DISCOVERY_DELAY = 6.0  # seconds until a change at a reachable discovery counts as known
+LAG_WINDOW = 2.0  # seconds for which a lag of this process extends the limits
+REORDER_WINDOW = 0.02  # seconds within which messages on two connections may be read out of order
+ANSWER_TURNS = 3  # turns of this process's loop from an answer's arrival to its check
+ARRIVAL_TURNS = 8  # the same for a request on a new connection: accept, task, first byte, head, body
+KILL_UNCERTAINTY = 0.05  # seconds around a kill in which what was sent may not have arrived
 
 
 @dataclass
-class Asked:
-    """A request, from its last byte on."""
+class Request:
+    """A request and what has become of it."""
 
     id: str
     kind: str
     node: int
-    patience: float
-    began: float = 0.0  # its client began to connect, or to write on a kept connection
+    timeout: float
+    began: float = 0.0  # the client began to connect, or to write on an idle connection
     sent: float = 0.0
-    left: float | None = None  # its client closed the connection then
-    unread: bool = False  # its connection ended without an answer: it must not be sent on any more
+    left: float | None = None  # when the client closed the connection
+    unread: bool = False  # the connection ended without an answer: no attempt may follow
     forwarded: float | None = None
     durable: bool = False
 
 
 @dataclass
 class Job:
-    """What the workers know of a request."""
+    """The attempts of a request at its workers."""
 
-    out: dict[int, int] = field(
+    open_attempts: dict[int, int] = field(
         default_factory=dict
-    )  # attempts neither ended nor given up, and their workers
+    )  # attempts neither ended nor withdrawn, with their workers
     may_have_run: dict[int, float] = field(default_factory=dict)  # attempts, and when they began
     attempts: int = 0
 
 
 class Ledger:
-    """All times are those of the monotonic clock."""
+    """All times are on the monotonic clock."""
 
     def __init__(self, plan):
         self.plan = plan
         self.findings = []
-        self.asked = {}
+        self.requests = {}
         self.jobs = {}
-        self.answers = {}  # how many of each status
+        self.answers = {}  # counts by status
         self.classes = {spec["name"]: spec for spec in plan.settings["services"]}
-        self.may_copy = plan.settings["caps"]["second_copies"]
+        self.may_hedge = plan.settings["caps"]["second_copies"]
         self.grace = plan.settings["rules"]["drain_grace"] / 1e6
         self._lags = deque()
-        self._felt = time.monotonic()
+        self._lag_measured_at = time.monotonic()
         self.slowest = 0.0  # turn of this process's loop
 
-    def found(self, text):
+    def report(self, text):
         self.findings.append(f"{time.monotonic():.3f} {text}")
 
-    # ---- this process's own slowness --------------------------------------------------------
+    # ---- lag of this process -----------------------------------------------------------------
 
-    async def feel_lag(self):
+    async def measure_lag(self):
         while True:
             began = time.monotonic()
             await asyncio.sleep(0.005)
-            self._felt = now = time.monotonic()
+            self._lag_measured_at = now = time.monotonic()
             self._lags.append((now, now - began - 0.005))
             self.slowest = max(self.slowest, now - began - 0.005)
-            while self._lags[0][0] < now - LAG_KEPT:
+            while self._lags[0][0] < now - LAG_WINDOW:
                 self._lags.popleft()
 
-    def slowness(self, turns):
-        since = time.monotonic() - self._felt  # it may be slow just now, and not have felt that yet
+    def measured_lag(self, turns):
+        since = time.monotonic() - self._lag_measured_at  # a lag in progress is not recorded yet
         return turns * max([lag for _, lag in self._lags] + [since])
 
     @property
     def lag(self):
-        """What is measured at a client may be too late by."""
-        return self.slowness(TURNS_READ)
+        """Return by how much a time measured at a client may be too late."""
+        return self.measured_lag(ANSWER_TURNS)
 
     @property
     def arrival_lag(self):
-        """What is measured at a worker may be too late by."""
-        return self.slowness(TURNS_ARRIVED)
+        """Return by how much a time measured at a worker may be too late."""
+        return self.measured_lag(ARRIVAL_TURNS)
 
     # ---- workers ----------------------------------------------------------------------------
 
-    def attempt(self, req_id, worker, told, began):
-        """An attempt has come whole to a worker; returns its number."""
-        asked, now = self.asked.get(req_id), time.monotonic()
-        if asked is None:
-            self.found(f"{req_id}: an id that no client sent")
+    def record_attempt(self, req_id, worker, remaining, began):
+        """Record an attempt that a worker has read, and check it; return its number."""
+        request, now = self.requests.get(req_id), time.monotonic()
+        if request is None:
+            self.report(f"{req_id}: an id that no client sent")
             return 0
         job = self.jobs.setdefault(req_id, Job())
-        asked.forwarded = asked.forwarded or now
-        spec = self.classes[asked.kind]
+        request.forwarded = request.forwarded or now
+        spec = self.classes[request.kind]
         unsafe = spec["effect"] == "non_idempotent"
-        if asked.unread:
-            self.found(f"{req_id}: sent on after its connection had ended unanswered")
-        if asked.left is not None and not asked.durable and began > asked.left + GONE + self.arrival_lag:
-            self.found(f"{req_id}: begins {began - asked.left:.3f} s after its client left")
+        if request.unread:
+            self.report(f"{req_id}: forwarded after its connection had ended unanswered")
         if (
-            not asked.durable
-            and asked.sent
-            and told > max(asked.sent + asked.patience - now, 0) + TOLD + self.arrival_lag
+            request.left is not None
+            and not request.durable
+            and began > request.left + GONE_MARGIN + self.arrival_lag
         ):
-            self.found(f"{req_id}: told {told:.3f} s, left {asked.sent + asked.patience - now:.3f} s")
-        if worker in job.out.values() or (job.out and (unsafe or not self.may_copy)):
-            beside = set(job.out)
+            self.report(f"{req_id}: begins {began - request.left:.3f} s after its client left")
+        if (
+            not request.durable
+            and request.sent
+            and remaining > max(request.sent + request.timeout - now, 0) + DEADLINE_MARGIN + self.arrival_lag
+        ):
+            self.report(
+                f"{req_id}: worker got {remaining:.3f} s of {request.sent + request.timeout - now:.3f} s left"
+            )
+        if worker in job.open_attempts.values() or (job.open_attempts and (unsafe or not self.may_hedge)):
+            others = set(job.open_attempts)
             loop = asyncio.get_running_loop()
-            loop.call_later(IN_ORDER + self.arrival_lag, self.check_copy, req_id, worker, beside)
+            loop.call_later(REORDER_WINDOW + self.arrival_lag, self.check_hedge, req_id, worker, others)
         if job.may_have_run and unsafe:
-            self.found(f"{req_id}: unsafe, and sent again to worker {worker} after it may have run")
-        if job.may_have_run and spec["effect"] == "idempotency_key" and not asked.durable:
+            self.report(f"{req_id}: unsafe, and sent again to worker {worker} after it may have run")
+        if job.may_have_run and spec["effect"] == "idempotency_key" and not request.durable:
             first = min(job.may_have_run.values())
-            if began > first + spec["window"] / 1e6 + RULE_SLACK + self.arrival_lag:
-                self.found(f"{req_id}: a keyed repeat {began - first:.3f} s after the first")
+            if began > first + spec["window"] / 1e6 + TIME_TOLERANCE + self.arrival_lag:
+                self.report(f"{req_id}: a keyed retry {began - first:.3f} s after the first")
         job.attempts += 1
-        job.out[job.attempts] = worker
+        job.open_attempts[job.attempts] = worker
         job.may_have_run[job.attempts] = began
         return job.attempts
 
-    def check_copy(self, req_id, worker, beside):
-        """Two connections are read in any order: an end that came before the attempt has been read by now."""
-        out = self.jobs[req_id].out
-        still = [out[attempt] for attempt in beside if attempt in out]
-        if still:
-            self.found(f"{req_id}: a second attempt at worker {worker} beside {still}")
+    def check_hedge(self, req_id, worker, others):
+        """Report a second attempt beside an open one.
+
+        Connections are read in any order; by now an end that came before the attempt has been read.
+        """
+        open_attempts = self.jobs[req_id].open_attempts
+        still_open = [open_attempts[attempt] for attempt in others if attempt in open_attempts]
+        if still_open:
+            self.report(f"{req_id}: a second attempt at worker {worker} beside {still_open}")
 
-    def ended(self, req_id, attempt, ran=True):
-        """An attempt has ended at its worker, or was given up there."""
+    def attempt_ended(self, req_id, attempt, ran=True):
+        """Record that an attempt has ended at its worker or was withdrawn there."""
         job = self.jobs.get(req_id)
         if job is not None:
-            job.out.pop(attempt, None)
+            job.open_attempts.pop(attempt, None)
             if not ran:
                 job.may_have_run.pop(attempt, None)
 
-    def given_up(self, req_id, worker):
-        """Whatever a worker has of a request is not wanted there any more."""
+    def attempts_withdrawn(self, req_id, worker):
+        """Record that a worker's attempts of a request are withdrawn."""
         job = self.jobs.get(req_id)
         if job is not None:
-            job.out = {attempt: at for attempt, at in job.out.items() if at != worker}
+            job.open_attempts = {attempt: at for attempt, at in job.open_attempts.items() if at != worker}
 
-    def is_out(self, req_id, attempt):
-        return attempt in self.jobs[req_id].out
+    def is_open(self, req_id, attempt):
+        return attempt in self.jobs[req_id].open_attempts
 
     def node_lost(self, node):
-        """A process has died: what it held is gone with it, and the next one may know nothing of that."""
-        for req_id, asked in self.asked.items():
-            if asked.node == node and not asked.durable and req_id in self.jobs:
-                self.jobs[req_id].out.clear()
+        """Forget the open attempts of a process that has died: the next one may not know of them."""
+        for req_id, request in self.requests.items():
+            if request.node == node and not request.durable and req_id in self.jobs:
+                self.jobs[req_id].open_attempts.clear()
 
     # ---- clients ----------------------------------------------------------------------------
 
-    def answered(self, asked, status, body):
+    def record_answer(self, request, status, body):
         self.answers[status] = self.answers.get(status, 0) + 1
         if status == 200:
-            if body != f"of {asked.id}".encode():
-                self.found(f"{asked.id}: 200 with {body[:60]!r}, which no worker made for it")
+            if body != f"of {request.id}".encode():
+                self.report(f"{request.id}: 200 with {body[:60]!r}, which no worker made for it")
         elif status in (429, 503):
-            unsafe = self.classes[asked.kind]["effect"] == "non_idempotent"
-            job = self.jobs.get(asked.id)
+            unsafe = self.classes[request.kind]["effect"] == "non_idempotent"
+            job = self.jobs.get(request.id)
             if unsafe and job is not None and job.may_have_run:
-                self.found(f"{asked.id}: refused, though it may have run")
+                self.report(f"{request.id}: refused, though it may have run")
         elif status not in (502, 504):
-            self.found(f"{asked.id}: {status} {body[:80]!r}")
+            self.report(f"{request.id}: {status} {body[:80]!r}")
 
-    def late(self, asked, now):
-        return asked.sent + asked.patience + LATE + self.lag < now
+    def is_late(self, request, now):
+        return request.sent + request.timeout + MAX_ANSWER_DELAY + self.lag < now
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a run is about, drawn from its seed: settings, the size of the fleet, the faults and their times."""
+"""Draws the plan of a run from its seed: settings, fleet size, and faults with their times."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from world import SETTINGS
 
-CALM = 1.5  # seconds at the beginning and before the end, without new faults
-STEP_MOST = 7200  # seconds, of the wall clock
-SIGNAL_SERIES = 4  # at the most, one after the other
+QUIET_TIME = 1.5  # seconds at the start and before the end of a run without new faults
+MAX_CLOCK_ERROR = 7200  # seconds by which the wall clock may be wrong
+MAX_RELOADS = 4  # in a row
 
 
 @dataclass(frozen=True)
-class Window:
-    """A fault from one time of the run to another, in seconds from its start."""
+class FaultWindow:
+    """A fault between two times of the run, in seconds from its start."""
 
     begins: float
     ends: float
     kind: str
     target: int  # a scheduler, a worker, or the discovery of a scheduler
-    much: float = 0.0
+    magnitude: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -30,48 +30,48 @@
     schedulers: int
     workers: int
     clients: int
-    crowd: int  # clients that hold connections without need
+    idle_groups: int  # groups of 20 clients that hold idle connections
     settings: dict
-    durable: frozenset[int]  # schedulers with a folder that lasts
-    upgraded: frozenset[int]  # schedulers whose listener is held, and whose program is replaced under load
-    windows: tuple[Window, ...] = field(default=())
+    durable: frozenset[int]  # schedulers with a durable store
+    upgraded: frozenset[int]  # schedulers with an inherited listening socket, which are upgraded under load
+    windows: tuple[FaultWindow, ...] = field(default=())
 
-    def of(self, *kinds):
+    def windows_of(self, *kinds):
         return [window for window in self.windows if window.kind in kinds]
 
 
-PROCESS = ("kill", "term", "hup", "stop")  # what is done to a process
-INSIDE = ("sockets", "hold", "wall", "disk")  # what fails inside one
-WORKER = ("hang", "reset", "mute", "decline", "garbage", "pieces", "lose", "drain", "rest")
-DISCOVERY = ("down", "silent", "unavailable", "slow", "broken")
+PROCESS_FAULTS = ("kill", "term", "hup", "stop")  # signals and restarts of a process
+INTERNAL_FAULTS = ("sockets", "hold", "wall", "disk")  # faults in the calls of a process
+WORKER_FAULTS = ("hang", "reset", "mute", "decline", "garbage", "pieces", "lose", "drain", "rest")
+DISCOVERY_FAULTS = ("down", "silent", "unavailable", "slow", "broken")
 
 
-def drawn(seed, seconds=12.0, schedulers=24, crowded=None):
-    """The plan of a seed; always the same for the same arguments."""
+def draw_plan(seed, seconds=12.0, schedulers=24, with_idle_clients=None):
+    """Return the plan of a seed; the same arguments give the same plan."""
     rng = random.Random(seed)
     workers = rng.randint(8, 16)
-    crowd = rng.choice([0, 0, 40]) if crowded is None else 40 * crowded
+    idle_groups = rng.choice([0, 0, 40]) if with_idle_clients is None else 40 * with_idle_clients
     upgraded = frozenset(rng.sample(range(schedulers), schedulers // 6))
     others = [number for number in range(schedulers) if number not in upgraded]
     durable = frozenset(rng.sample(others, schedulers // 8))
     windows = []
     for number in range(schedulers):
-        kinds = INSIDE if number in upgraded else PROCESS + INSIDE
+        kinds = INTERNAL_FAULTS if number in upgraded else PROCESS_FAULTS + INTERNAL_FAULTS
         windows += _windows(rng, seconds, number, kinds, rng.randint(1, 4))
     for number in upgraded:
-        begins = rng.uniform(CALM, seconds - 2 * CALM)
-        windows.append(Window(begins, begins, "upgrade", number))
+        begins = rng.uniform(QUIET_TIME, seconds - 2 * QUIET_TIME)
+        windows.append(FaultWindow(begins, begins, "upgrade", number))
     for number in range(workers):
-        windows += _windows(rng, seconds, number, WORKER, rng.randint(0, 3))
+        windows += _windows(rng, seconds, number, WORKER_FAULTS, rng.randint(0, 3))
     for number in range(schedulers):
-        windows += _windows(rng, seconds, number, DISCOVERY, rng.randint(0, 2))
+        windows += _windows(rng, seconds, number, DISCOVERY_FAULTS, rng.randint(0, 2))
     return Plan(
         seed,
         seconds,
         schedulers,
         workers,
         rng.randint(40, 70),
-        crowd,
+        idle_groups,
         _settings(rng, schedulers),
         durable,
         upgraded,
@@ -80,18 +80,18 @@
 
 
 def _windows(rng, seconds, target, kinds, count):
-    found = []
+    windows = []
     for _ in range(count):
-        begins = rng.uniform(CALM, seconds - CALM)
-        ends = min(seconds - CALM, begins + rng.uniform(0.1, 4.0))
+        begins = rng.uniform(QUIET_TIME, seconds - QUIET_TIME)
+        ends = min(seconds - QUIET_TIME, begins + rng.uniform(0.1, 4.0))
         kind = rng.choice(kinds)
-        much = {
-            "wall": rng.uniform(-STEP_MOST, STEP_MOST),
-            "hup": rng.randint(1, SIGNAL_SERIES),
+        magnitude = {
+            "wall": rng.uniform(-MAX_CLOCK_ERROR, MAX_CLOCK_ERROR),
+            "hup": rng.randint(1, MAX_RELOADS),
             "stop": rng.uniform(0.02, 0.15),
         }.get(kind, rng.uniform(0.005, 0.05))
-        found.append(Window(begins, ends, kind, target, much))
-    return found
+        windows.append(FaultWindow(begins, ends, kind, target, magnitude))
+    return windows
 
 
 def _settings(rng, schedulers):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: the stubs, the schedulers, the clients and the faults, from the first to the last."""
+"""Runs a plan: starts the stubs, the schedulers and the clients, and injects the faults."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 from world import free_ports
 
-from soak.clients import Client, crowd
+from soak.clients import Client, hold_idle_connections
 from soak.discovery import Discovery, Drains, WorkerList
 from soak.durable import DurableClient
 from soak.ledger import Ledger
 from soak.nodes import Node
-from soak.plan import drawn
+from soak.plan import draw_plan
 from soak.workers import Worker
 
-STARTED_AT_ONCE = 8  # processes, so that a start is not held up by the others'
-CHECKED_EVERY = 0.2  # seconds, whether all processes are there
+MAX_CONCURRENT_STARTS = 8  # processes; more at once would slow down each other's start
+CHECK_INTERVAL = 0.2  # seconds between checks that all processes are running
 
 
 class Run:
@@ -30,15 +30,15 @@
         self.plan, self.folder = plan, Path(folder)
         self.rng = random.Random(f"{plan.seed} run")
         self.ledger = Ledger(plan)
-        self.list = WorkerList(self)
+        self.worker_list = WorkerList(self)
         self.drains = Drains(self)
-        self.workers, self.nodes, self.streams = [], [], set()
-        self.over = False
+        self.workers, self.nodes, self.writers = [], [], set()
+        self.finished = False
         self.began = 0.0
         self.tasks = []
 
     def at(self, seconds):
-        """A time of the run on the monotonic clock; before it has begun, never."""
+        """Return a time of the run on the monotonic clock; infinity before the run has begun."""
         return self.began + seconds if self.began else float("inf")
 
     def active(self, windows, target):
@@ -48,17 +48,17 @@
     def active_kind(self, kind, target):
         return any(window.kind == kind for window in self.active(self.plan.windows, target))
 
-    async def play(self):
-        """What was found broken."""
-        feeling = asyncio.create_task(self.ledger.feel_lag())
+    async def execute(self):
+        """Run the plan and return the findings."""
+        lag_task = asyncio.create_task(self.ledger.measure_lag())
         try:
             await self.open()
-            await self.go_through()
+            await self.run_load()
         finally:
-            self.over = True
-            for task in (feeling, *self.tasks):
+            self.finished = True
+            for task in (lag_task, *self.tasks):
                 task.cancel()
-            for writer in list(self.streams):
+            for writer in list(self.writers):
                 writer.transport.abort()
             for node in self.nodes:
                 node.close()
@@ -70,73 +70,75 @@
         for number in range(self.plan.workers):
             self.workers.append(Worker(self, number))
             await self.workers[-1].open()
-        ports = free_ports(3 * self.plan.schedulers)  # at once: one that is let go of may be found again
+        ports = free_ports(3 * self.plan.schedulers)  # at once: a released port may be found again
         for number in range(self.plan.schedulers):
             node = Node(self, number, self.folder / f"n{number}", ports[3 * number : 3 * number + 3])
             node.discovery = Discovery(self, number)
             await node.discovery.open()
             self.nodes.append(node)
-        self.began = time.monotonic() + 0.2 * self.plan.schedulers  # the first process knows its faults too
-        gate = asyncio.Semaphore(STARTED_AT_ONCE)
+        self.began = time.monotonic() + 0.2 * self.plan.schedulers  # fixed before the first start
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def start(node):
-            async with gate:
+            async with start_slots:
                 await node.start()
 
         await asyncio.gather(*(start(node) for node in self.nodes))
         await asyncio.sleep(max(0.0, self.began - time.monotonic()))
 
-    async def go_through(self):
-        clients = [asyncio.create_task(Client(self, number).go_on()) for number in range(self.plan.clients)]
+    async def run_load(self):
+        clients = [
+            asyncio.create_task(Client(self, number).send_requests()) for number in range(self.plan.clients)
+        ]
         durable = [DurableClient(self, node) for node in self.nodes if node.durable]
-        clients += [asyncio.create_task(client.go_on()) for client in durable]
-        if self.plan.crowd:
-            self.tasks.append(asyncio.create_task(crowd(self)))
-        busy = {node.number: asyncio.Lock() for node in self.nodes}
-        faults = [asyncio.create_task(self.carry_out(window, busy)) for window in self.plan.windows]
+        clients += [asyncio.create_task(client.send_requests()) for client in durable]
+        if self.plan.idle_groups:
+            self.tasks.append(asyncio.create_task(hold_idle_connections(self)))
+        restart_locks = {node.number: asyncio.Lock() for node in self.nodes}
+        faults = [asyncio.create_task(self.inject(window, restart_locks)) for window in self.plan.windows]
         while time.monotonic() < self.at(self.plan.seconds):
             for node in self.nodes:
                 node.check_alive()
-            await asyncio.sleep(CHECKED_EVERY)
+            await asyncio.sleep(CHECK_INTERVAL)
         for fault in await asyncio.gather(*faults, return_exceptions=True):
             if isinstance(fault, Exception):
                 raise fault
-        self.over = True
+        self.finished = True
         await asyncio.gather(*clients)
         for client in durable:
             await client.collect()
         for node in self.nodes:
             node.check_alive()
 
-    async def carry_out(self, window, busy):
+    async def inject(self, window, restart_locks):
         await asyncio.sleep(max(0.0, self.at(window.begins) - time.monotonic()))
         if window.kind in ("kill", "term", "hup", "stop", "upgrade"):
             node = self.nodes[window.target]
-            if busy[window.target].locked() and window.kind in ("kill", "term", "upgrade"):
-                return  # another restart is under way
+            if restart_locks[window.target].locked() and window.kind in ("kill", "term", "upgrade"):
+                return  # another restart is in progress
             if window.kind == "hup":
-                await node.reload(int(window.much))
+                await node.reload(int(window.magnitude))
             elif window.kind == "stop":
-                await node.stop_for(window.much)
+                await node.stop_for(window.magnitude)
             else:
-                async with busy[window.target]:
+                async with restart_locks[window.target]:
                     await {"kill": node.kill, "term": node.restart, "upgrade": node.upgrade}[window.kind]()
         elif window.kind == "drain":
-            await self.replace(self.workers[window.target], window)
+            await self.drain_worker(self.workers[window.target], window)
 
-    async def replace(self, worker, window):
-        """A worker is told to leave, and later is back."""
+    async def drain_worker(self, worker, window):
+        """Drain a worker, and make it ready again when the window ends."""
         if worker.phase != "Ready":
             return
-        await self.list.change(worker, "Terminating")
+        await self.worker_list.change(worker, "Terminating")
         await asyncio.sleep(max(0.0, self.at(window.ends) - time.monotonic()))
         worker.since_ms = int(time.time() * 1000)
-        await self.list.change(worker, "Ready")
+        await self.worker_list.change(worker, "Ready")
 
 
-async def played(plan, folder):
+async def run_plan(plan, folder):
     run = Run(plan, folder)
-    return await run.play(), run
+    return await run.execute(), run
 
 
 def main():
@@ -144,26 +146,26 @@
     parser.add_argument("seeds", nargs="+", type=int)
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--schedulers", type=int, default=24)
-    parser.add_argument("--keep", type=Path, help="where the logs of runs with findings are kept")
-    given = parser.parse_args()
-    broken = 0
-    for seed in given.seeds:
-        plan = drawn(seed, given.seconds, given.schedulers)
+    parser.add_argument("--keep", type=Path, help="folder in which the logs of the runs are kept")
+    arguments = parser.parse_args()
+    failed = 0
+    for seed in arguments.seeds:
+        plan = draw_plan(seed, arguments.seconds, arguments.schedulers)
         with contextlib.ExitStack() as stack:
-            if given.keep:
-                folder = given.keep / str(seed)
+            if arguments.keep:
+                folder = arguments.keep / str(seed)
                 folder.mkdir(parents=True)
             else:
                 folder = stack.enter_context(tempfile.TemporaryDirectory())
-            findings, run = asyncio.run(played(plan, folder))
-        broken += bool(findings)
-        what = ", ".join(f"{status} {count}" for status, count in sorted(run.ledger.answers.items()))
-        asked, slow = len(run.ledger.asked), f"slowest turn here {run.ledger.slowest:.3f} s"
-        print(f"seed {seed}: {asked} requests ({what}), {len(findings)} findings, {slow}", flush=True)
+            findings, run = asyncio.run(run_plan(plan, folder))
+        failed += bool(findings)
+        answers = ", ".join(f"{status} {count}" for status, count in sorted(run.ledger.answers.items()))
+        total, slow = len(run.ledger.requests), f"slowest turn here {run.ledger.slowest:.3f} s"
+        print(f"seed {seed}: {total} requests ({answers}), {len(findings)} findings, {slow}", flush=True)
         for finding in findings[:20]:
             print(f"  {finding}", flush=True)
-    print(f"{len(given.seeds) - broken} passed, {broken} failed")
-    return int(broken > 0)
+    print(f"{len(arguments.seeds) - failed} passed, {failed} failed")
+    return int(failed > 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/scheduler.py
+++ b/tests/soak/scheduler.py
@@ -1,7 +1,7 @@
-"""The real program in a shim: its system calls, its wall clock and its disk fail as its plan says.
+"""Runs the scheduler with faults in its system calls, its wall clock and its disk, as the plan says.
 
-Started as ``python -m soak.scheduler``; ``SOAK_FAULTS`` names a JSON list of ``[begins, ends, kind, much]``,
-on the machine's monotonic clock.
+Started as ``python -m soak.scheduler``; ``SOAK_FAULTS`` names a file with a JSON list of
+``[begins, ends, kind, magnitude]``, in seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from carthinge.net import clock, loop
 from carthinge.net.sockets import Sockets
 
-PASSING = (errno.EINTR, errno.ENOBUFS, errno.ENOMEM)  # the call may be made again, the connection stands
-ACCEPT = (
+TRANSIENT_ERRORS = (errno.EINTR, errno.ENOBUFS, errno.ENOMEM)  # repeatable; the connection stays open
+ACCEPT_ERRORS = (
     errno.EINTR,
     errno.ECONNABORTED,
     errno.EMFILE,
@@ -30,7 +30,7 @@
     errno.EPROTO,
     errno.EPERM,
 )
-CONNECT = (
+CONNECT_ERRORS = (
     errno.EINTR,
     errno.EADDRNOTAVAIL,
     errno.EMFILE,
@@ -38,21 +38,19 @@
     errno.EHOSTUNREACH,
     errno.ENETUNREACH,
 )
-CONNECTED = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
-BROKEN = (errno.ETIMEDOUT, errno.ECONNRESET, errno.EHOSTUNREACH, errno.EPIPE)
-HOLD_MOST = 0.15  # seconds, by the page
-FEW = 7  # bytes of a short read or write
+CONNECT_RESULTS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ECONNRESET)
+CONNECTION_ERRORS = (errno.ETIMEDOUT, errno.ECONNRESET, errno.EHOSTUNREACH, errno.EPIPE)
+MAX_HOLD = 0.15  # seconds, as specified
+SHORT_IO_BYTES = 7  # bytes of a short read or write
 
 RNG = random.Random(os.environ.get("SOAK_SEED", ""))
 WINDOWS = json.loads(Path(os.environ["SOAK_FAULTS"]).read_text())
 
 
-def much(kind):
-    """How likely, or how much, a fault is now; 0 where it is not."""
+def magnitude(kind):
+    """Return the current probability or size of a fault; 0 outside its windows."""
     now = time.monotonic()
-    return next(
-        (size for begins, ends, which, size in WINDOWS if which == kind and begins <= now < ends), 0.0
-    )
+    return next((size for begins, ends, name, size in WINDOWS if name == kind and begins <= now < ends), 0.0)
 
 
 def fail(*errors):
@@ -61,77 +59,77 @@
 
 
 class FailingSockets(Sockets):
-    """What breaks a connection for good does so only on those that the program has opened itself.
+    """Breaks only connections that the program has opened itself.
 
-    A client whose connection the machine breaks has gone, and is owed nothing.
+    A client whose connection breaks counts as gone and is not owed an answer.
     """
 
     def __init__(self):
         self.opened = set()  # descriptors
 
     def connect(self, host, port):
-        if RNG.random() < much("sockets"):
-            fail(*CONNECT)
+        if RNG.random() < magnitude("sockets"):
+            fail(*CONNECT_ERRORS)
         sock = super().connect(host, port)
         self.opened.add(sock.fileno())
         return sock
 
     def connect_error(self, sock):
-        if RNG.random() < much("sockets"):
-            return RNG.choice(CONNECTED)
+        if RNG.random() < magnitude("sockets"):
+            return RNG.choice(CONNECT_RESULTS)
         return super().connect_error(sock)
 
     def accept(self, listening):
-        if RNG.random() < much("sockets"):
-            fail(*ACCEPT)
+        if RNG.random() < magnitude("sockets"):
+            fail(*ACCEPT_ERRORS)
         sock = super().accept(listening)
         self.opened.discard(sock.fileno())
         return sock
 
-    def receive(self, sock, most):
-        self._passing_or_broken(sock, errno.EINTR)
-        return super().receive(sock, FEW if RNG.random() < much("sockets") else most)
+    def receive(self, sock, max_bytes):
+        self._maybe_fail(sock, errno.EINTR)
+        return super().receive(sock, SHORT_IO_BYTES if RNG.random() < magnitude("sockets") else max_bytes)
 
     def send(self, sock, data):
-        if RNG.random() < much("hold"):
-            time.sleep(RNG.uniform(0, HOLD_MOST))
-        self._passing_or_broken(sock, *PASSING)
-        return super().send(sock, data[:FEW] if RNG.random() < much("sockets") else data)
+        if RNG.random() < magnitude("hold"):
+            time.sleep(RNG.uniform(0, MAX_HOLD))
+        self._maybe_fail(sock, *TRANSIENT_ERRORS)
+        return super().send(sock, data[:SHORT_IO_BYTES] if RNG.random() < magnitude("sockets") else data)
 
     def close(self, sock):
         self.opened.discard(sock.fileno())
         super().close(sock)
 
-    def _passing_or_broken(self, sock, *passing):
-        if RNG.random() < much("sockets"):
+    def _maybe_fail(self, sock, *transient_errors):
+        if RNG.random() < magnitude("sockets"):
             if sock.family == socket.AF_INET and sock.fileno() in self.opened and RNG.random() < 0.5:
-                fail(*BROKEN)
-            fail(*passing)
+                fail(*CONNECTION_ERRORS)
+            fail(*transient_errors)
 
 
-def failing_disk():
-    """Writes and syncs of the store fail for a while, or take long."""
+def inject_disk_faults():
+    """Make the store's commits fail or take long while the fault lasts."""
     from carthinge.durable.store import Store
 
     apply = Store.apply
 
-    def failing(self, records, now):
-        if much("disk"):
+    def apply_or_fail(self, records, now):
+        if magnitude("disk"):
             if RNG.random() < 0.5:
                 raise sqlite3.OperationalError("disk I/O error")
             time.sleep(RNG.uniform(0, 0.1))
         return apply(self, records, now)
 
-    Store.apply = failing
+    Store.apply = apply_or_fail
 
 
 def main():
     loop.Sockets = FailingSockets
     clock.time = SimpleNamespace(
-        monotonic_ns=time.monotonic_ns, time_ns=lambda: time.time_ns() + int(much("wall") * 1e9)
+        monotonic_ns=time.monotonic_ns, time_ns=lambda: time.time_ns() + int(magnitude("wall") * 1e9)
     )
     if os.environ.get("CARTHINGE_FILE"):
-        failing_disk()
+        inject_disk_faults()
     from carthinge.serving import serve
 
     return serve("debug")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,20 +1,20 @@
-"""A short soak on fixed seeds: real schedulers under random, overlapping faults, judged by invariants alone.
+"""A short soak on fixed seeds: scheduler processes under random, overlapping faults must keep the invariants.
 
-By hand, with more seeds, from the folder of the tests: ``python -m soak.run 1 2 3 --keep found``.
+More seeds, from the folder of the tests: ``python -m soak.run 1 2 3 --keep found``.
 """
 
 import asyncio
 
 import pytest
-from soak.plan import drawn
-from soak.run import played
+from soak.plan import draw_plan
+from soak.run import run_plan
 
 SECONDS, SCHEDULERS = 9.0, 24
 
 
-@pytest.mark.parametrize(("seed", "crowded"), [(1, False), (2, True)])
-def test_the_invariants_hold_under_random_faults(seed, crowded, tmp_path):
-    plan = drawn(seed, SECONDS, SCHEDULERS, crowded)
-    findings, run = asyncio.run(played(plan, tmp_path))
+@pytest.mark.parametrize(("seed", "with_idle_clients"), [(1, False), (2, True)])
+def test_invariants_hold_under_faults(seed, with_idle_clients, tmp_path):
+    plan = draw_plan(seed, SECONDS, SCHEDULERS, with_idle_clients)
+    findings, run = asyncio.run(run_plan(plan, tmp_path))
     assert not findings, f"python -m soak.run {seed}: {findings}"
     assert run.ledger.answers[200] > 100
