--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -13,7 +13,7 @@
 WAIT = 10  # seconds; no expected event in these tests takes nearly as long
 
 
-def turns(program, condition):
+def run_until(program, condition):
     """Run turns without waiting until the condition holds; bytes on loopback take a moment to arrive."""
     deadline = time.monotonic() + WAIT
     while not condition():
@@ -34,13 +34,13 @@
 
 def taken(listener, program):
     """Run turns until a stub worker gets a connection; return it."""
-    turns(program, lambda: readable(listener.sock))
+    run_until(program, lambda: readable(listener.sock))
     return listener.accept()
 
 
 def reading(peer, program):
     """Run turns until a stub gets a request or an answer; return it."""
-    turns(program, lambda: readable(peer.sock))
+    run_until(program, lambda: readable(peer.sock))
     return peer.read()
 
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, call_back, lists, readable, reading, taken, turns
+from in_process import UP, call_back, lists, readable, reading, run_until, taken
 from world import Listener, altered, job, member
 
 
@@ -18,7 +18,7 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     client.close()
-    turns(program, lambda: program.counters.taken and not program.tracker.events)
+    run_until(program, lambda: program.counters.taken and not program.tracker.events)
     assert (program.counters.attempts, program.counters.client_gone) == (0, 1)
     assert program.tracker.tracked_requests == {} and program.dispatcher.jobs == {}
 
@@ -37,7 +37,7 @@
         return actions
 
     program.dispatcher.handle = decide
-    turns(program, lambda: program.counters.client_gone and not program.tracker.events)
+    run_until(program, lambda: program.counters.client_gone and not program.tracker.events)
     assert program.counters.attempts == 0
 
 
@@ -49,7 +49,7 @@
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect_error", lambda sock: client.close())
-    turns(program, lambda: program.counters.client_gone and not program.tracker.events)
+    run_until(program, lambda: program.counters.client_gone and not program.tracker.events)
     assert program.counters.attempts_written == 0 and program.worker_client._calls == {}
 
 
@@ -62,9 +62,9 @@
             fill_socket.connect_ex(listener.getsockname())
         lists(program, member("s-0", listener.getsockname()[1]))
         client = dial(program).send(job("a1"))
-        turns(program, lambda: program.worker_client._calls)
+        run_until(program, lambda: program.worker_client._calls)
         client.close()
-        turns(program, lambda: program.counters.client_gone)
+        run_until(program, lambda: program.counters.client_gone)
         assert program.worker_client._calls == {} and program.counters.attempt_not_sent == 1
         for fill_socket in fill_sockets:
             fill_socket.close()
@@ -81,7 +81,7 @@
     for known in program.dispatcher.fleet.workers.values():
         known.cap = 0.5  # no free capacity
     queued = dial(program).send(job("b1", kind="charge"))
-    turns(program, lambda: program.counters.taken == 2)
+    run_until(program, lambda: program.counters.taken == 2)
     assert program.counters.attempts == 1
     end = program.tracker.end
 
@@ -91,8 +91,8 @@
 
     program.tracker.end = end_and_leave
     dial(program).send(call_back("s-0", "a1"))
-    turns(program, lambda: program.counters.client_gone)
-    turns(program, lambda: not program.tracker.events)
+    run_until(program, lambda: program.counters.client_gone)
+    run_until(program, lambda: not program.tracker.events)
     assert first.status() == 200 and program.counters.attempts == 1
 
 
@@ -101,7 +101,7 @@
     second = Listener()
     lists(program, member("s-0", worker.port), member("s-1", second.port))
     client = dial(program).send(job("a1"))
-    turns(program, lambda: readable(worker.sock) or readable(second.sock))
+    run_until(program, lambda: readable(worker.sock) or readable(second.sock))
     listening = worker if readable(worker.sock) else second
     peer = listening.accept()
     reading(peer, program)
@@ -113,8 +113,8 @@
 
     program.tracker.end = end_and_leave
     peer.answer(503, Srv_Declined=1)
-    turns(program, lambda: program.counters.client_gone)
-    turns(program, lambda: not program.tracker.events)
+    run_until(program, lambda: program.counters.client_gone)
+    run_until(program, lambda: not program.tracker.events)
     assert program.counters.attempts == 1 and program.counters.attempt_full == 1
     second.close()
 
@@ -124,12 +124,12 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(UP)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
     client.send(job("a1") + job("a2"))
     client.close()
-    turns(program, lambda: program.counters.client_gone)
-    turns(program, lambda: not program.tracker.events)
+    run_until(program, lambda: program.counters.client_gone)
+    run_until(program, lambda: not program.tracker.events)
     assert program.counters.attempts == 0
 
 
@@ -170,7 +170,7 @@
     first = time_left(reading(peer, program))
     let_pass(program, timedelta(milliseconds=700))
     peer.answer(503, Srv_Declined=1)
-    turns(program, lambda: program.counters.attempt_full)
+    run_until(program, lambda: program.counters.attempt_full)
     let_pass(program, timedelta(milliseconds=300))  # the worker is avoided for a moment
     retried = time_left(reading(peer, program))
     assert retried <= first - timedelta(milliseconds=1000)
@@ -194,8 +194,8 @@
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=700)))
     let_pass(program, timedelta(milliseconds=400))
     peer.close()  # it may have run
-    turns(program, lambda: program.counters.attempt_reset)
-    turns(program, lambda: program.counters.failed or program.counters.shed)
+    run_until(program, lambda: program.counters.attempt_reset)
+    run_until(program, lambda: program.counters.failed or program.counters.shed)
     assert (program.counters.attempts, program.counters.attempts_written) == (2, 1)
     assert program.counters.attempt_not_sent
     assert client.status() in (502, 503)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, call_back, drained, lists, readable, reading, taken, turns
+from in_process import UP, call_back, drained, lists, readable, reading, run_until, taken
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -31,7 +31,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     client = dial(program)
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     for _ in range(5):
         let_pass(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
         program.loop.turn(idle=False)
@@ -45,7 +45,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     drained(program)
     silent = dial(program)
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     assert ended(program) and silent.ended()
 
 
@@ -54,7 +54,7 @@
     lists(program, member("s-0", worker.port))
     text = job("a1")
     client = dial(program).send(text[:70])
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     for _ in range(3):
         program.loop.turn(idle=False)
     drained(program)
@@ -81,7 +81,7 @@
         return tracked
 
     program.tracker.take = take_then_signal
-    turns(program, lambda: program.counters.taken)
+    run_until(program, lambda: program.counters.taken)
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
@@ -108,7 +108,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     sockets = faulty(program)
     client = dial(program)
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     (connection,) = program.frontend.slots.all()
     connection._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -116,11 +116,11 @@
     connection._answer = lambda status, *more, **named: answer(status, b"x" * 300_000)
     sockets.after("send", lambda sock, data: program._handle_signals(bytes((signal.SIGTERM,))))
     client.send(UP)
-    turns(program, lambda: program.frontend.draining is not None)
+    run_until(program, lambda: program.frontend.draining is not None)
     assert connection._stream.unsent
     read = b""
     while not read.endswith(b"x" * 10) or len(read) < 300_000:
-        turns(program, lambda: readable(client.sock))
+        run_until(program, lambda: readable(client.sock))
         chunk = client.sock.recv(4096)
         assert chunk, f"cut off after {len(read)} bytes"
         read += chunk
@@ -176,7 +176,7 @@
     client = dial(program).send(UP)
     sockets = faulty(program)
     sockets.before("shut_down_sending", lambda sock: client.send(b"x" * 100_000))
-    turns(program, lambda: program.frontend.slots.ending)
+    run_until(program, lambda: program.frontend.slots.ending)
     for _ in range(10):
         program.loop.turn(idle=False)
     assert reading(client, program)[0].endswith("503 Service Unavailable") and client.ended()
@@ -224,7 +224,7 @@
 def test_sigterm_while_discovery_is_down(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
-    turns(program, lambda: program.counters.watch_failures)
+    run_until(program, lambda: program.counters.watch_failures)
     client = dial(program).send(job("a1"))
     peer = taken(worker, program)
     reading(peer, program)
@@ -251,16 +251,16 @@
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r1"))
     assert reading(first, program)[2] == b"r1"
-    turns(program, lambda: program.worker_client._idle)
+    run_until(program, lambda: program.worker_client._idle)
     peer.send(unsolicited)
-    turns(program, lambda: not any(caller.usable() for caller in program.worker_client._idle))
+    run_until(program, lambda: not any(caller.usable() for caller in program.worker_client._idle))
     for _ in range(3):
         program.loop.turn(idle=False)
     second = dial(program).send(job("a2"))
     next_peer = taken(worker, program)
     assert reading(next_peer, program)[1]["req-id"] == "a2"
     next_peer.answer(503, Srv_Declined=1)
-    turns(program, lambda: program.counters.attempt_full)
+    run_until(program, lambda: program.counters.attempt_full)
     second.close()
 
 
@@ -272,7 +272,7 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\ntaken").close()
-    turns(program, lambda: not program.worker_client._calls)
+    run_until(program, lambda: not program.worker_client._calls)
     assert program.counters.attempt_reset == 0
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
@@ -285,7 +285,7 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\ntak").close()
-    turns(program, lambda: program.counters.failed)
+    run_until(program, lambda: program.counters.failed)
     assert client.status() == 502 and program.counters.attempt_reset == program.counters.attempts == 1
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import call_back, lists, reading, taken, turns
+from in_process import call_back, lists, reading, run_until, taken
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge.net.http import Address
@@ -17,7 +17,7 @@
 def filled(program, dial, partial=b""):
     """Connect five times as many clients as there are slots, silent or with a partial request."""
     clients = [dial(program).send(partial) for _ in range(5 * program.frontend.slots.max_connections)]
-    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
+    run_until(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
     return clients
 
 
@@ -40,7 +40,7 @@
 def test_discovery_is_reached_despite_idle_clients(serve, dial):
     program = serve(sockets=TIGHT)
     filled(program, dial)
-    turns(program, lambda: program.counters.watch_failures)  # it is down
+    run_until(program, lambda: program.counters.watch_failures)  # it is down
     discovery = Listener()
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = taken(discovery, program)
@@ -54,9 +54,9 @@
     program = serve(sockets=TIGHT)
     clients = filled(program, dial)
     let_pass(program, READ_TIMEOUT * 2)
-    turns(program, lambda: program.counters.connections_in == len(clients))
+    run_until(program, lambda: program.counters.connections_in == len(clients))
     let_pass(program, READ_TIMEOUT * 2)
-    turns(program, lambda: len(program.frontend.slots) == 0)
+    run_until(program, lambda: len(program.frontend.slots) == 0)
 
 
 def test_lower_process_limit_applies(make_program):
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -9,7 +9,7 @@
 from helpers import listing, of, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
-from in_process import reading, taken, turns
+from in_process import reading, run_until, taken
 from world import SETTINGS, Listener, job, member
 
 from carthinge import interface as io
@@ -80,7 +80,7 @@
     program, peer = watching
     assert "wait=1000" in answer(program, peer, 9, member("s-0", 1))
     peer.close()
-    turns(program, lambda: program.counters.watch_failures == 1)
+    run_until(program, lambda: program.counters.watch_failures == 1)
     advance(program, timedelta(seconds=1))
     silent = taken(discovery, program)
     assert reading(silent, program)[0] == "GET /discovery/hosts?index=9&wait=1 HTTP/1.1"
@@ -168,12 +168,12 @@
         advance(program, timedelta(milliseconds=400))
     else:
         peer.close()
-    turns(program, lambda: program.counters.watch_failures == 1)
+    run_until(program, lambda: program.counters.watch_failures == 1)
     discovery.sock.listen(0)
     for _ in range(6):  # calls that are answered with an error
         advance(program, timedelta(seconds=2))
         taken(discovery, program).answer(503)
-        turns(program, lambda: program.watch.state is WatchState.PAUSING)
+        run_until(program, lambda: program.watch.state is WatchState.PAUSING)
     advance(program, timedelta(seconds=2))
     back = taken(discovery, program)
     reading(back, program)
@@ -199,9 +199,9 @@
         raising=False,
     )
     client = dial(program).send(job("a1"))
-    turns(program, lambda: program.counters.attempts)
+    run_until(program, lambda: program.counters.attempts)
     assert program.worker_client._calls
-    turns(program, lambda: program.counters.attempt_not_sent)
+    run_until(program, lambda: program.counters.attempt_not_sent)
     assert (
         program.counters.attempts_written == 0
         and program.directory.targets[worker_number("s-0")].draining_or_gone
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from durable_world import FILE, get, put, take_job
 from faults import let_pass
-from in_process import readable, reading, turns
+from in_process import readable, reading, run_until
 from store_shorthands import accepted
 from world import World, job
 
@@ -39,7 +39,7 @@
     file.write_text(FILE.replace("{folder}", str(tmp_path / "store")))
     program = make_program(file=file, workers=1)
     program.upgrade.find_predecessor()
-    turns(program, lambda: program.serving() and program.durable.loaded)
+    run_until(program, lambda: program.serving() and program.durable.loaded)
     yield program
     program.durable.close()
 
@@ -48,7 +48,7 @@
     """The loop waited for the store's thread for up to 0.5 s, longer than a short drain grace period."""
     disk = BlockedDisk(program.durable._store)
     client = dial(program).send(job("a1", **ASYNC))
-    turns(program, disk.entered.is_set)
+    run_until(program, disk.entered.is_set)
     ended = []
     began = time.monotonic()
     StoreHandover(program.durable, lambda attempt: False, ended.append)
@@ -65,7 +65,7 @@
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
     disk.released.set()
     reclaim_store(program.durable, lambda: None)
-    turns(program, lambda: readable(client.sock))
+    run_until(program, lambda: readable(client.sock))
     assert client.status() in (202, 503)
 
 
@@ -73,13 +73,13 @@
     """A job written during a handover was in neither process's tracker, and its client got no answer."""
     disk = BlockedDisk(program.durable._store)
     client = dial(program).send(job("a1", **ASYNC))
-    turns(program, disk.entered.is_set)
+    run_until(program, disk.entered.is_set)
     program.durable.handing_over = True  # a handover starts while the job is being written
     disk.released.set()
-    turns(program, lambda: program.durable._postponed)
+    run_until(program, lambda: program.durable._postponed)
     assert not program.tracker.tracked_requests
     program.durable.cancel_handover()
-    turns(program, lambda: program.tracker.tracked_requests)
+    run_until(program, lambda: program.tracker.tracked_requests)
     assert reading(client, program)[0].split()[1] == "202"
 
 
@@ -95,10 +95,10 @@
         grant(*given)
 
     program.durable.grant = grant_while_leaving
-    turns(program, lambda: program.durable._postponed)
+    run_until(program, lambda: program.durable._postponed)
     assert program.counters.attempts == 0
     program.durable.cancel_handover()
-    turns(program, lambda: program.counters.attempts)
+    run_until(program, lambda: program.counters.attempts)
     assert reading(client, program)[0].split()[1] == "202"
 
 
@@ -110,7 +110,7 @@
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
     results = []
     writer.read_store(lambda store: store.open_jobs(0, 1), results.append)
-    turns(program, lambda: results)
+    run_until(program, lambda: results)
 
 
 def test_half_read_request_at_handover_is_answered_once(tmp_path):
@@ -143,7 +143,7 @@
     assert not ended and program.durable.writer is not None
     program.durable.read_back.loaded = True
     let_pass(program, SEND_TIMEOUT)
-    turns(program, lambda: ended)
+    run_until(program, lambda: ended)
     assert ended == [True] and program.durable.writer is None
 
 
@@ -178,15 +178,15 @@
 def test_deferred_request_waits_for_half_read_one(program, dial):
     """The part of the next request that was read stayed in the old process and was lost."""
     client = dial(program).send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     program.durable.handing_over = True
     text = job("a2", **ASYNC)
     client.send(job("a1", **ASYNC) + text[:50])
     (connection,) = program.frontend.slots.all()
-    turns(program, lambda: connection.deferred and connection.has_partial_request())
+    run_until(program, lambda: connection.deferred and connection.has_partial_request())
     assert list(program.frontend.release_deferred()) == []
     client.send(text[50:])
-    turns(program, lambda: not connection.has_partial_request())
+    run_until(program, lambda: not connection.has_partial_request())
     ((sock, incoming),) = program.frontend.release_deferred()
     assert incoming.read.count(b"Req-Id") + incoming.read.count(b"req-id") == 2
     sock.close()
@@ -200,5 +200,5 @@
     while not writer.stopped:
         assert time.monotonic() < until
     writer.write(accepted(1), results.append)  # as a worker's callback does
-    turns(program, lambda: ended)
+    run_until(program, lambda: ended)
     assert ended == [True] and results == [None]
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, call_back, lists, reading, taken, turns
+from in_process import UP, call_back, lists, reading, run_until, taken
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -30,7 +30,7 @@
     sockets.fail(call, error)
     reading(peer, program)
     peer.answer(202)
-    turns(program, lambda: not program.worker_client._calls)
+    run_until(program, lambda: not program.worker_client._calls)
     sockets.fail(call, error)
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, call_back, lists, reading, taken, turns
+from in_process import UP, call_back, lists, reading, run_until, taken
 from world import job, member
 
 from carthinge import interface as io
@@ -115,5 +115,5 @@
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
     assert reading(client, program)[2] == b"r"
-    turns(program, lambda: not program.tracker.tracked_requests)
+    run_until(program, lambda: not program.tracker.tracked_requests)
     assert program.counters.invariants_violated == 0
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import call_back, lists, reading, taken, turns
+from in_process import call_back, lists, reading, run_until, taken
 from world import job, member
 
 LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
@@ -13,7 +13,7 @@
 
 def statuses(client, program, count):
     """Statuses of the answers that have arrived so far."""
-    turns(program, lambda: True)
+    run_until(program, lambda: True)
     for _ in range(20):
         program.loop.turn(idle=False)
         program.tracker.decide()
@@ -29,7 +29,7 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
-    turns(program, lambda: not program.worker_client._calls)
+    run_until(program, lambda: not program.worker_client._calls)
     let_pass(program, SHORT_DEADLINE - timedelta(milliseconds=50))
     program.loop.turn(idle=False)
     assert program.counters.failed == 0, "it was cut short before it had to be"
@@ -37,7 +37,7 @@
     assert statuses(client, program, 2) == [504, 503]
     assert program.counters.invariants_violated == 0
     dial(program).send(call_back("s-0", "a1", result="late"))
-    turns(program, lambda: program.counters.job_events)
+    run_until(program, lambda: program.counters.job_events)
     assert program.counters.served == 0
 
 
@@ -59,7 +59,7 @@
     for name in ("a1", "a2"):
         assert reading(peer, program)[1]["req-id"] == name
         peer.answer(202)
-        turns(program, lambda: not program.worker_client._calls)
+        run_until(program, lambda: not program.worker_client._calls)
         let_pass(program, timedelta(seconds=1))
         dial(program).send(call_back("s-0", name, result=name))
         assert reading(client, program)[2] == name.encode()
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import SAFE, UNSAFE, arrival, listing, of, outcome, settings, started
-from in_process import lists, reading, taken, turns
+from in_process import lists, reading, run_until, taken
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge import interface as io
@@ -113,7 +113,7 @@
     clients = [dial(program).send(job("a1", kind="reindex")), dial(program).send(job("a2", kind="query"))]
     assert reading(taken(press, program), program)[1]["req-id"] == "a1"
     assert reading(taken(worker, program), program)[1]["req-id"] == "a2"
-    turns(program, lambda: not program.tracker.events)
+    run_until(program, lambda: not program.tracker.events)
     for client in clients:
         client.close()
     press.close()
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, call_back, drained, lists, reading, taken, turns
+from in_process import UP, call_back, drained, lists, reading, run_until, taken
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -17,13 +17,13 @@
 def one_read(program):
     """Run turns until a client's data has been read."""
     sockets = program.loop.sockets = FaultySockets()
-    turns(program, lambda: sockets.made["receive"])
+    run_until(program, lambda: sockets.made["receive"])
 
 
 def test_silent_client_is_closed_slow_writer_served(serve, dial):
     program = serve()
     silent, slow = dial(program), dial(program).send(UP[:4])
-    turns(program, lambda: len(program.frontend.slots.fresh) == 2)
+    run_until(program, lambda: len(program.frontend.slots.fresh) == 2)
     for _ in range(3):
         program.loop.turn(idle=False)
     for at in range(4, len(UP)):  # for longer than a stopped request may take
@@ -37,7 +37,7 @@
 def test_slow_writer_may_pause_between_parts(serve, dial):
     program = serve()
     slow = dial(program).send(UP[:4])
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
     for at, pause in ((4, READ_TIMEOUT), (8, MAX_PART_INTERVAL), (12, MAX_PART_INTERVAL)):
         let_pass(program, pause - timedelta(milliseconds=300))
@@ -56,7 +56,7 @@
         client.send(UP)
         assert reading(client, program)[0].endswith("200 OK")
     client.send(UP[:4])
-    turns(
+    run_until(
         program,
         lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
     )
@@ -70,7 +70,7 @@
 def test_endless_request_gets_408(serve, dial):
     program = serve()
     client = dial(program).send(b"GET /up HTTP/1.1\r\nX: ")
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     passed = timedelta()
     while not program.counters.bad_input and passed <= MAX_REQUEST_DURATION:
         client.send(b"x")
@@ -94,13 +94,13 @@
 def test_partial_request_is_evicted_last(serve, dial):
     program = serve(sockets=64)
     partial = [dial(program).send(UP[:4]) for _ in range(4)]
-    turns(program, lambda: len(program.frontend.slots.fresh) == 4)
+    run_until(program, lambda: len(program.frontend.slots.fresh) == 4)
     for _ in range(3):
         program.loop.turn(idle=False)
     silent = [dial(program) for _ in range(program.frontend.slots.max_connections)]
-    turns(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
+    run_until(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
     let_pass(program, timedelta(seconds=1))
-    turns(program, lambda: program.counters.connections_in_closed_early == 4)
+    run_until(program, lambda: program.counters.connections_in_closed_early == 4)
     assert all(peer.ended() for peer in silent[:4])
     for client in partial:
         client.send(UP[4:])
@@ -111,9 +111,9 @@
     program = serve(settings=MANY)
     client = dial(program).send(UP)
     drained(program)
-    turns(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
+    run_until(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
     let_pass(program, LINGER_TIMEOUT)
-    turns(program, lambda: len(program.frontend.slots) == 0)
+    run_until(program, lambda: len(program.frontend.slots) == 0)
     assert client.status() == 503
 
 
@@ -121,7 +121,7 @@
     """Guards against the timer of a partial request writing a 408 after the connection's last response."""
     program = serve()
     client = dial(program).send(UP[:9])
-    turns(program, lambda: program.frontend.slots.fresh)
+    run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
     let_pass(program, READ_TIMEOUT - timedelta(milliseconds=500))
     client.send(b"\x00\x01 not HTTP\r\n\r\n")
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, call_back, lists, reading, taken, turns
+from in_process import UP, call_back, lists, reading, run_until, taken
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -25,7 +25,7 @@
     peer = taken(worker, program)
     reading(peer, program)
     peer.answer(202)
-    turns(program, lambda: not program.worker_client._calls)
+    run_until(program, lambda: not program.worker_client._calls)
     dial(program).send(call_back("s-0", name, result="r"))
     assert reading(client, program)[2] == b"r"
     return peer
@@ -39,14 +39,14 @@
     sockets.fail("accept", *[error] * 3)
     client = dial(program).send(UP)
     with clock_stopped(program):
-        turns(program, lambda: sockets.made["accept"])
+        run_until(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.made["accept"] == 1, "accept was retried within the pause"
     for _ in range(3):
         let_pass(program, ACCEPT_PAUSE)
         program.loop.turn(idle=False)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200 and sockets.left("accept") == 0
     assert program.counters.accept_pauses == 3
 
@@ -56,7 +56,7 @@
     sockets = faulty(program)
     sockets.fail("accept", errno.ECONNABORTED, errno.EPROTO)
     client = dial(program).send(UP)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200 and program.counters.accept_pauses == 0
 
 
@@ -66,7 +66,7 @@
     sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
     dial(program)
     with clock_stopped(program):
-        turns(program, lambda: sockets.made["accept"])
+        run_until(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.made["accept"] == MAX_ABORTS_PER_TURN and program.counters.accept_pauses == 1
@@ -81,7 +81,7 @@
     sockets.fail("connect", *[error] * 5)
     client = dial(program).send(job("a1"))
     with clock_stopped(program):
-        turns(program, lambda: sockets.made["connect"])
+        run_until(program, lambda: sockets.made["connect"])
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.made["connect"] == 1, "it was retried at once"
@@ -135,7 +135,7 @@
     reading(peer, program)
     sockets.fail("receive", error)
     peer.answer(202)
-    turns(program, lambda: program.counters.failed)
+    run_until(program, lambda: program.counters.failed)
     assert client.status() == 502 and program.counters.attempt_reset == 1
     assert program.counters.attempts_written == 1
 
@@ -147,7 +147,7 @@
     sockets = faulty(program)
     sockets.after("connect_error", lambda sock: sockets.fail("send", error))
     client = dial(program).send(job("a1", kind="charge"))
-    turns(program, lambda: program.counters.attempt_connect_failed)
+    run_until(program, lambda: program.counters.attempt_connect_failed)
     assert program.counters.failed == program.counters.attempt_reset == 0  # it may be retried
     client.close()
 
@@ -157,10 +157,10 @@
     program = serve()
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
-    turns(program, lambda: program.counters.taken)
+    run_until(program, lambda: program.counters.taken)
     sockets.fail("receive", error)
     client.send(b"x")
-    turns(program, lambda: program.counters.client_gone)
+    run_until(program, lambda: program.counters.client_gone)
     assert len(program.frontend.slots) == 0
 
 
@@ -172,11 +172,11 @@
     sockets.fail("send", error, error)
     client = dial(program).send(UP)
     with clock_stopped(program):
-        turns(program, lambda: sockets.made["send"])
+        run_until(program, lambda: sockets.made["send"])
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.made["send"] == 1, "it was retried at once"
-    turns(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
+    run_until(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
     assert reading(client, program)[0].endswith("200 OK")
 
 
@@ -195,10 +195,10 @@
     assert reading(first, program)[0].endswith("400 Bad Request")
     first.close()
     monkeypatch.setattr(socket.socket, "close", fails)
-    turns(program, lambda: failed)
+    run_until(program, lambda: failed)
     monkeypatch.undo()
     client = dial(program).send(UP)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
 
@@ -215,10 +215,10 @@
 
     monkeypatch.setattr(program.loop._selector, "register", full, raising=False)
     first = dial(program)
-    turns(program, lambda: not failing)
+    run_until(program, lambda: not failing)
     assert first.ended()
     client = dial(program).send(UP)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
 
@@ -275,14 +275,14 @@
     with socket.socket(socket.AF_UNIX) as other:
         other.connect(str(program.upgrade._path))
         with clock_stopped(program):
-            turns(program, lambda: sockets.made["accept"])
+            run_until(program, lambda: sockets.made["accept"])
             for _ in range(20):
                 program.loop.turn(idle=False)
             assert sockets.made["accept"] == 1, "accept was retried within the pause"
         for _ in range(2):
             let_pass(program, ACCEPT_PAUSE)
             program.loop.turn(idle=False)
-        turns(program, lambda: program.upgrade.has_peer)
+        run_until(program, lambda: program.upgrade.has_peer)
 
 
 def test_failed_takeover_ends_only_its_connection(serve, dial, worker, monkeypatch):
@@ -302,7 +302,7 @@
     program.upgrade._received(Incoming(fresh=True), sock)
     assert other.ended() and not failing
     client = dial(program).send(UP)
-    turns(program, lambda: program.frontend.slots.kept)
+    run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
 
@@ -336,7 +336,7 @@
         sockets.fail("send_to", error)
         sockets.fail("receive", error)
         program.upgrade.find_predecessor()
-        turns(program, lambda: program.fleet.counts["not_sent"])
+        run_until(program, lambda: program.fleet.counts["not_sent"])
         until = time.monotonic() + 10
         while not program.fleet.counts["sent"]:
             assert time.monotonic() < until
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from in_process import lists, turns
+from in_process import lists, run_until
 from world import SETTINGS, job, member
 
 from carthinge.interface import Listing
@@ -125,7 +125,7 @@
     monkeypatch.setattr(time, "time_ns", lambda: real() + step // MICROSECOND * 1000)
     program.loop.turn(idle=False)
     lists(program, member("s-0", 1, up_since_ms=time.time_ns() // 1_000_000))
-    turns(program, lambda: not program.tracker.events)
+    run_until(program, lambda: not program.tracker.events)
     worker = program.dispatcher.fleet.workers[worker_number("s-0")]
     assert 0.3 < program.dispatcher.context.capacity_share(worker) < 0.4
 
@@ -134,7 +134,7 @@
 def test_deadlines_and_timers_ignore_wall_clock(serve, dial, monkeypatch, step):
     program = serve()
     client = dial(program).send(job("a1", deadline="5000m"))
-    turns(program, lambda: program.tracker.tracked_requests)
+    run_until(program, lambda: program.tracker.tracked_requests)
     real = time.time_ns
     monkeypatch.setattr(time, "time_ns", lambda: real() + step // MICROSECOND * 1000)
     monkeypatch.setattr(time, "time", lambda: time.time_ns() / 1e9)
@@ -146,7 +146,7 @@
         program.tracker.decide()
     assert tracked.pending and program.loop._timers[0][0] >= due
     again = dial(program).send(job("b1", deadline="5000m"))
-    turns(program, lambda: "b1" in program.tracker.by_id)
+    run_until(program, lambda: "b1" in program.tracker.by_id)
     left = program.tracker.by_id["b1"].give_up - program.loop.clock.now()
     assert timedelta(seconds=4) < left < timedelta(seconds=5)
     client.close()
