--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -32,7 +32,7 @@
     program.watch._on_update(program.directory.apply_list(listed, Listing.WHOLE))
 
 
-def taken(listener, program):
+def accept_next(listener, program):
     """Run turns until a stub worker gets a connection; return it."""
     run_until(program, lambda: readable(listener.sock))
     return listener.accept()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, call_back, lists, readable, reading, run_until, taken
+from in_process import UP, accept_next, call_back, lists, readable, reading, run_until
 from world import Listener, altered, job, member
 
 
@@ -75,7 +75,7 @@
     program = serve(settings={**altered(), "load_info": {"how": "off", "fields": []}})
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     for known in program.dispatcher.fleet.workers.values():
@@ -150,7 +150,7 @@
     sockets = faulty(program)
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=200)))
     client = dial(program).send(job("a1", deadline="3000m"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     due = program.tracker.by_id["a1"].give_up
     assert time_left(reading(peer, program)) <= due - program.loop.clock.now() + timedelta(milliseconds=150)
     assert answer_time_kept(due, program)
@@ -166,7 +166,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     first = time_left(reading(peer, program))
     let_pass(program, timedelta(milliseconds=700))
     peer.answer(503, Srv_Declined=1)
@@ -189,7 +189,7 @@
     program.tracker.watch = lambda: None  # the slow connect must not be that of discovery
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="reindex", deadline="9000m", Idempotency_Key="k"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=700)))
     let_pass(program, timedelta(milliseconds=400))
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, call_back, drained, lists, readable, reading, run_until, taken
+from in_process import UP, accept_next, call_back, drained, lists, readable, reading, run_until
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -59,7 +59,7 @@
         program.loop.turn(idle=False)
     drained(program)
     client.send(text[70:])
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
@@ -82,7 +82,7 @@
 
     program.tracker.take = take_then_signal
     run_until(program, lambda: program.counters.taken)
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     assert not program._finished
@@ -96,7 +96,7 @@
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect", lambda host, port: program._handle_signals(bytes((signal.SIGTERM,))))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
@@ -135,7 +135,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1") + job("a2") + UP)
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     drained(program)
@@ -206,7 +206,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     program._handle_signals(bytes((signal.SIGHUP, signal.SIGTERM)))
@@ -226,7 +226,7 @@
     lists(program, member("s-0", worker.port))
     run_until(program, lambda: program.counters.watch_failures)
     client = dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     drained(program)
@@ -246,7 +246,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r1"))
@@ -257,7 +257,7 @@
     for _ in range(3):
         program.loop.turn(idle=False)
     second = dial(program).send(job("a2"))
-    next_peer = taken(worker, program)
+    next_peer = accept_next(worker, program)
     assert reading(next_peer, program)[1]["req-id"] == "a2"
     next_peer.answer(503, Srv_Declined=1)
     run_until(program, lambda: program.counters.attempt_full)
@@ -269,7 +269,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\ntaken").close()
     run_until(program, lambda: not program.worker_client._calls)
@@ -282,7 +282,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\ntak").close()
     run_until(program, lambda: program.counters.failed)
@@ -304,7 +304,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
-    reading(taken(worker, program), program)
+    reading(accept_next(worker, program), program)
     clients = [connection._stream for connection in program.frontend.slots.all()]
     workers = [call.connection._stream for call in program.worker_client._calls.values()]
     assert len(clients) == len(workers) == 1
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import call_back, lists, reading, run_until, taken
+from in_process import accept_next, call_back, lists, reading, run_until
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge.net.http import Address
@@ -28,7 +28,7 @@
     filled(program, dial, partial)
     let_pass(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     let_pass(program, program.config.site.connect_timeout)
@@ -43,7 +43,7 @@
     run_until(program, lambda: program.counters.watch_failures)  # it is down
     discovery = Listener()
     program.watch.set_address(Address("127.0.0.1", discovery.port))
-    peer = taken(discovery, program)
+    peer = accept_next(discovery, program)
     reading(peer, program)
     peer.answer(200, json.dumps({"revision": 3, "complete": True, "members": []}).encode())
     assert "index=3&" in reading(peer, program)[0]
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, call_back, lists, reading, run_until, taken
+from in_process import UP, accept_next, call_back, lists, reading, run_until
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -26,7 +26,7 @@
     sockets = faulty(program)
     sockets.fail(call, error)
     client = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     sockets.fail(call, error)
     reading(peer, program)
     peer.answer(202)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, call_back, lists, reading, run_until, taken
+from in_process import UP, accept_next, call_back, lists, reading, run_until
 from world import job, member
 
 from carthinge import interface as io
@@ -71,7 +71,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     (tracked,) = program.tracker.tracked_requests.values()
     program.tracker._send(io.Send(tracked.number, tracked.attempts[0].target.number))
@@ -85,7 +85,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     idle = dial(program).send(UP)
     reading(idle, program)
@@ -107,7 +107,7 @@
     sockets = faulty(program)
     sockets.fail("connect", errno.EMFILE, errno.ECONNREFUSED)
     client = dial(program).send(job("a1"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(503, Srv_Declined=1)
     retried = reading(peer, program)
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import call_back, lists, reading, run_until, taken
+from in_process import accept_next, call_back, lists, reading, run_until
 from world import job, member
 
 LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
@@ -26,7 +26,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind=kind, deadline="5000m") + job("a2", deadline="400m"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
@@ -55,7 +55,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m") + job("a2", deadline="3000m"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     for name in ("a1", "a2"):
         assert reading(peer, program)[1]["req-id"] == name
         peer.answer(202)
@@ -70,7 +70,7 @@
     lists(program, member("s-0", worker.port))
     pipelined = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + job("a2", deadline="soon")
     client = dial(program).send(job("a1", deadline="5000m") + pipelined)
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     let_pass(program, timedelta(seconds=1))
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, call_back, drained, lists, reading, run_until, taken
+from in_process import UP, accept_next, call_back, drained, lists, reading, run_until
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -139,7 +139,7 @@
     lists(program, member("s-0", worker.port))
     head, body = job("a2", Expect="100-continue", body=b"large").split(b"\r\n\r\n")
     client = dial(program).send(job("a1") + head + b"\r\n\r\n")
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     for name in ("a1", "a2"):
         assert reading(peer, program)[1]["req-id"] == name
         peer.answer(202)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, call_back, lists, reading, run_until, taken
+from in_process import UP, accept_next, call_back, lists, reading, run_until
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -22,7 +22,7 @@
 def serve_one(program, dial, worker, name="a1"):
     """Run a job from its client's request to the response."""
     client = dial(program).send(job(name))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
@@ -88,7 +88,7 @@
     for _ in range(5):
         let_pass(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
-    reading(taken(worker, program), program)
+    reading(accept_next(worker, program), program)
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
     assert program.counters.attempts == 1 and only.strikes == 0
     client.close()
@@ -121,7 +121,7 @@
     for _ in range(2):
         let_pass(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
-    assert reading(taken(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
+    assert reading(accept_next(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
@@ -131,7 +131,7 @@
     lists(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="charge"))
-    peer = taken(worker, program)
+    peer = accept_next(worker, program)
     reading(peer, program)
     sockets.fail("receive", error)
     peer.answer(202)
