--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -38,7 +38,7 @@
     return listener.accept()
 
 
-def reading(peer, program):
+def read_next(peer, program):
     """Run turns until a stub gets a request or an answer; return it."""
     run_until(program, lambda: readable(peer.sock))
     return peer.read()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, lists, readable, reading, run_until
+from in_process import UP, accept_next, call_back, lists, read_next, readable, run_until
 from world import Listener, altered, job, member
 
 
@@ -76,7 +76,7 @@
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     for known in program.dispatcher.fleet.workers.values():
         known.cap = 0.5  # no free capacity
@@ -104,7 +104,7 @@
     run_until(program, lambda: readable(worker.sock) or readable(second.sock))
     listening = worker if readable(worker.sock) else second
     peer = listening.accept()
-    reading(peer, program)
+    read_next(peer, program)
     end = program.tracker.end
 
     def end_and_leave(attempt, *args, **kwargs):
@@ -152,7 +152,7 @@
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
     due = program.tracker.by_id["a1"].give_up
-    assert time_left(reading(peer, program)) <= due - program.loop.clock.now() + timedelta(milliseconds=150)
+    assert time_left(read_next(peer, program)) <= due - program.loop.clock.now() + timedelta(milliseconds=150)
     assert answer_time_kept(due, program)
     client.close()
 
@@ -167,12 +167,12 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
-    first = time_left(reading(peer, program))
+    first = time_left(read_next(peer, program))
     let_pass(program, timedelta(milliseconds=700))
     peer.answer(503, Srv_Declined=1)
     run_until(program, lambda: program.counters.attempt_full)
     let_pass(program, timedelta(milliseconds=300))  # the worker is avoided for a moment
-    retried = time_left(reading(peer, program))
+    retried = time_left(read_next(peer, program))
     assert retried <= first - timedelta(milliseconds=1000)
     client.close()
 
@@ -190,7 +190,7 @@
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="reindex", deadline="9000m", Idempotency_Key="k"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=700)))
     let_pass(program, timedelta(milliseconds=400))
     peer.close()  # it may have run
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, drained, lists, readable, reading, run_until
+from in_process import UP, accept_next, call_back, drained, lists, read_next, readable, run_until
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -37,7 +37,7 @@
         program.loop.turn(idle=False)
         assert not program._finished
     client.send(UP)
-    assert reading(client, program)[0].endswith("503 Service Unavailable")
+    assert read_next(client, program)[0].endswith("503 Service Unavailable")
     assert client.ended() and ended(program)
 
 
@@ -60,10 +60,10 @@
     drained(program)
     client.send(text[70:])
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    first, headers, body = reading(client, program)
+    first, headers, body = read_next(client, program)
     assert (first, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"r")
     assert client.ended() and ended(program)
 
@@ -83,11 +83,11 @@
     program.tracker.take = take_then_signal
     run_until(program, lambda: program.counters.taken)
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     assert not program._finished
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
 
 
 def test_sigterm_between_decision_and_connect(serve, dial, worker):
@@ -97,10 +97,10 @@
     client = dial(program).send(job("a1"))
     sockets.before("connect", lambda host, port: program._handle_signals(bytes((signal.SIGTERM,))))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r" and not program._finished
+    assert read_next(client, program)[2] == b"r" and not program._finished
 
 
 def test_sigterm_between_answer_and_flush(serve, dial):
@@ -136,17 +136,17 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1") + job("a2") + UP)
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     drained(program)
     dial(program).send(call_back("s-0", "a1", result="r1"))
-    first, headers, body = reading(client, program)
+    first, headers, body = read_next(client, program)
     assert body == b"r1" and "connection" not in headers
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a2", result="r2"))
-    assert reading(client, program)[2] == b"r2"
-    first, headers, _ = reading(client, program)
+    assert read_next(client, program)[2] == b"r2"
+    first, headers, _ = read_next(client, program)
     assert first.endswith("503 Service Unavailable") and headers["connection"] == "close"
 
 
@@ -155,7 +155,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     lists(program, member("s-0", worker.port))
     client = dial(program).send(UP)
-    assert reading(client, program)[0].endswith("200 OK")
+    assert read_next(client, program)[0].endswith("200 OK")
     sockets = faulty(program)
     read = sockets.made["receive"]
     sockets.before("close", lambda sock: client.send(job("a1")))
@@ -179,7 +179,7 @@
     run_until(program, lambda: program.frontend.slots.ending)
     for _ in range(10):
         program.loop.turn(idle=False)
-    assert reading(client, program)[0].endswith("503 Service Unavailable") and client.ended()
+    assert read_next(client, program)[0].endswith("503 Service Unavailable") and client.ended()
 
 
 def test_backlog_connection_served_before_exit(serve, dial, monkeypatch):
@@ -198,7 +198,7 @@
     program.loop.turn(idle=False)
     assert not program._finished
     program.frontend._listener._update()
-    assert reading(client, program)[0].endswith("503 Service Unavailable")
+    assert read_next(client, program)[0].endswith("503 Service Unavailable")
     assert ended(program)
 
 
@@ -207,7 +207,7 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     program._handle_signals(bytes((signal.SIGHUP, signal.SIGTERM)))
     drain = program.frontend.draining
@@ -216,7 +216,7 @@
     program._handle_signals(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
     assert program.frontend.draining is drain and not program._finished
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     client.close()
     assert ended(program)
 
@@ -227,11 +227,11 @@
     run_until(program, lambda: program.counters.watch_failures)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     drained(program)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     assert ended(program)
 
 
@@ -247,10 +247,10 @@
     lists(program, member("s-0", worker.port))
     first = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r1"))
-    assert reading(first, program)[2] == b"r1"
+    assert read_next(first, program)[2] == b"r1"
     run_until(program, lambda: program.worker_client._idle)
     peer.send(unsolicited)
     run_until(program, lambda: not any(caller.usable() for caller in program.worker_client._idle))
@@ -258,7 +258,7 @@
         program.loop.turn(idle=False)
     second = dial(program).send(job("a2"))
     next_peer = accept_next(worker, program)
-    assert reading(next_peer, program)[1]["req-id"] == "a2"
+    assert read_next(next_peer, program)[1]["req-id"] == "a2"
     next_peer.answer(503, Srv_Declined=1)
     run_until(program, lambda: program.counters.attempt_full)
     second.close()
@@ -270,12 +270,12 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\ntaken").close()
     run_until(program, lambda: not program.worker_client._calls)
     assert program.counters.attempt_reset == 0
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
 
 
 def test_truncated_answer_is_a_reset(serve, dial, worker):
@@ -283,7 +283,7 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 50\r\n\r\ntak").close()
     run_until(program, lambda: program.counters.failed)
     assert client.status() == 502 and program.counters.attempt_reset == program.counters.attempts == 1
@@ -304,7 +304,7 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
-    reading(accept_next(worker, program), program)
+    read_next(accept_next(worker, program), program)
     clients = [connection._stream for connection in program.frontend.slots.all()]
     workers = [call.connection._stream for call in program.worker_client._calls.values()]
     assert len(clients) == len(workers) == 1
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, lists, reading, run_until
+from in_process import accept_next, call_back, lists, read_next, run_until
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge.net.http import Address
@@ -29,12 +29,12 @@
     let_pass(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     let_pass(program, program.config.site.connect_timeout)
     caller = dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(caller, program)[0].split()[1] == "204"
-    assert reading(client, program)[2] == b"r"
+    assert read_next(caller, program)[0].split()[1] == "204"
+    assert read_next(client, program)[2] == b"r"
 
 
 def test_discovery_is_reached_despite_idle_clients(serve, dial):
@@ -44,9 +44,9 @@
     discovery = Listener()
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = accept_next(discovery, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(200, json.dumps({"revision": 3, "complete": True, "members": []}).encode())
-    assert "index=3&" in reading(peer, program)[0]
+    assert "index=3&" in read_next(peer, program)[0]
     discovery.close()
 
 
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -9,7 +9,7 @@
 from helpers import listing, of, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
-from in_process import accept_next, reading, run_until
+from in_process import accept_next, read_next, run_until
 from world import SETTINGS, Listener, job, member
 
 from carthinge import interface as io
@@ -32,7 +32,7 @@
     program = serve()
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = accept_next(discovery, program)
-    assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1"
+    assert read_next(peer, program)[0] == "GET /discovery/hosts HTTP/1.1"
     return program, peer
 
 
@@ -40,7 +40,7 @@
     """Answer a call of discovery; return the request line of the next call."""
     body = json.dumps({"revision": revision, "complete": complete, "members": members}, indent=4).encode()
     peer.answer(200, body)
-    return reading(peer, program)[0]
+    return read_next(peer, program)[0]
 
 
 def advance(program, duration):
@@ -83,10 +83,10 @@
     run_until(program, lambda: program.counters.watch_failures == 1)
     advance(program, timedelta(seconds=1))
     silent = accept_next(discovery, program)
-    assert reading(silent, program)[0] == "GET /discovery/hosts?index=9&wait=1 HTTP/1.1"
+    assert read_next(silent, program)[0] == "GET /discovery/hosts?index=9&wait=1 HTTP/1.1"
     advance(program, RETRY_WAIT + RETRY_RESPONSE_MARGIN + timedelta(seconds=2))
     again = accept_next(discovery, program)
-    reading(again, program)
+    read_next(again, program)
     assert silent.ended() and "wait=1000" in answer(program, again, 10, member("s-0", 1))
 
 
@@ -95,12 +95,12 @@
     program = serve(settings={**SETTINGS, "instances": instances})
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     peer = accept_next(discovery, program)
-    reading(peer, program)
+    read_next(peer, program)
     line = answer(program, peer, 9, member("s-0", 1))
     wait = timedelta(milliseconds=int(line.split("wait=")[1].split()[0]))
     advance(program, wait + RESPONSE_MARGIN + timedelta(milliseconds=500))
     again = accept_next(discovery, program)
-    assert reading(again, program)[0].endswith("index=9&wait=1 HTTP/1.1") and peer.ended()
+    assert read_next(again, program)[0].endswith("index=9&wait=1 HTTP/1.1") and peer.ended()
 
 
 @pytest.mark.parametrize("complete", [True, False])
@@ -137,7 +137,7 @@
     old.answer(200, body)  # still unread when the address changes
     program.watch.set_address(Address("127.0.0.1", moved.port))
     peer = accept_next(moved, program)
-    assert reading(peer, program)[0] == "GET /discovery/hosts HTTP/1.1" and old.ended()
+    assert read_next(peer, program)[0] == "GET /discovery/hosts HTTP/1.1" and old.ended()
     assert program.directory.ready == {"s-0"} and program.directory.revision is None
     assert "index=3&" in answer(program, peer, 3, member("s-1", 1))
     moved.close()
@@ -155,7 +155,7 @@
         program.tracker.decide()
     assert program.watch._connection.call is call and program.watch.state is WatchState.CALLING
     assert program.counters.watch_failures == 0
-    reading(accept_next(discovery, program), program)
+    read_next(accept_next(discovery, program), program)
 
 
 @pytest.mark.parametrize("cut", ["half a line", "reset"])
@@ -176,7 +176,7 @@
         run_until(program, lambda: program.watch.state is WatchState.PAUSING)
     advance(program, timedelta(seconds=2))
     back = accept_next(discovery, program)
-    reading(back, program)
+    read_next(back, program)
     answer(program, back, 10, member("s-0", 1, phase="Terminating"), complete=False)
     assert program.directory.targets[worker_number("s-0")].draining_or_gone
 
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from durable_world import FILE, get, put, take_job
 from faults import let_pass
-from in_process import readable, reading, run_until
+from in_process import read_next, readable, run_until
 from store_shorthands import accepted
 from world import World, job
 
@@ -80,7 +80,7 @@
     assert not program.tracker.tracked_requests
     program.durable.cancel_handover()
     run_until(program, lambda: program.tracker.tracked_requests)
-    assert reading(client, program)[0].split()[1] == "202"
+    assert read_next(client, program)[0].split()[1] == "202"
 
 
 def test_grant_during_cancelled_handover_is_written(program, dial):
@@ -99,7 +99,7 @@
     assert program.counters.attempts == 0
     program.durable.cancel_handover()
     run_until(program, lambda: program.counters.attempts)
-    assert reading(client, program)[0].split()[1] == "202"
+    assert read_next(client, program)[0].split()[1] == "202"
 
 
 def test_resumed_writer_has_one_thread(program):
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, accept_next, call_back, lists, reading, run_until
+from in_process import UP, accept_next, call_back, lists, read_next, run_until
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -22,20 +22,20 @@
     program = serve()
     lists(program, member("s-0", worker.port))
     idle = dial(program).send(UP)
-    assert reading(idle, program)[0].endswith("200 OK")
+    assert read_next(idle, program)[0].endswith("200 OK")
     sockets = faulty(program)
     sockets.fail(call, error)
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     sockets.fail(call, error)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
     sockets.fail(call, error)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     idle.send(UP)
-    assert reading(idle, program)[0].endswith("200 OK")
+    assert read_next(idle, program)[0].endswith("200 OK")
     counters = program.counters
     assert (counters.attempts, counters.served, counters.client_gone) == (1, 1, 0)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, accept_next, call_back, lists, reading, run_until
+from in_process import UP, accept_next, call_back, lists, read_next, run_until
 from world import job, member
 
 from carthinge import interface as io
@@ -72,13 +72,13 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     (tracked,) = program.tracker.tracked_requests.values()
     program.tracker._send(io.Send(tracked.number, tracked.attempts[0].target.number))
     assert program.counters.invariants_violated == 1 and program.counters.attempts == 1
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
 
 
 def test_close_with_unanswered_request_is_counted(serve, dial, worker):
@@ -86,9 +86,9 @@
     lists(program, member("s-0", worker.port))
     dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     idle = dial(program).send(UP)
-    reading(idle, program)
+    read_next(idle, program)
     for connection in program.frontend.slots.all():
         connection.close(CloseReason.SLOT_NEEDED)
     assert program.counters.invariants_violated == 1
@@ -108,12 +108,12 @@
     sockets.fail("connect", errno.EMFILE, errno.ECONNREFUSED)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(503, Srv_Declined=1)
-    retried = reading(peer, program)
+    retried = read_next(peer, program)
     assert retried[1]["req-id"] == "a1"
     peer.answer(202)
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     run_until(program, lambda: not program.tracker.tracked_requests)
     assert program.counters.invariants_violated == 0
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, lists, reading, run_until
+from in_process import accept_next, call_back, lists, read_next, run_until
 from world import job, member
 
 LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
@@ -27,7 +27,7 @@
     lists(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind=kind, deadline="5000m") + job("a2", deadline="400m"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
     let_pass(program, SHORT_DEADLINE - timedelta(milliseconds=50))
@@ -57,12 +57,12 @@
     client = dial(program).send(job("a1", deadline="3000m") + job("a2", deadline="3000m"))
     peer = accept_next(worker, program)
     for name in ("a1", "a2"):
-        assert reading(peer, program)[1]["req-id"] == name
+        assert read_next(peer, program)[1]["req-id"] == name
         peer.answer(202)
         run_until(program, lambda: not program.worker_client._calls)
         let_pass(program, timedelta(seconds=1))
         dial(program).send(call_back("s-0", name, result=name))
-        assert reading(client, program)[2] == name.encode()
+        assert read_next(client, program)[2] == name.encode()
 
 
 def test_requests_without_deadline_cut_nothing_short(serve, dial, worker):
@@ -71,9 +71,9 @@
     pipelined = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + job("a2", deadline="soon")
     client = dial(program).send(job("a1", deadline="5000m") + pipelined)
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     let_pass(program, timedelta(seconds=1))
     dial(program).send(call_back("s-0", "a1", result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     assert statuses(client, program, 2) == [200, 400]
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import SAFE, UNSAFE, arrival, listing, of, outcome, settings, started
-from in_process import accept_next, lists, reading, run_until
+from in_process import accept_next, lists, read_next, run_until
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge import interface as io
@@ -111,8 +111,8 @@
     program._reload()
     assert program.config.site is site is not before
     clients = [dial(program).send(job("a1", kind="reindex")), dial(program).send(job("a2", kind="query"))]
-    assert reading(accept_next(press, program), program)[1]["req-id"] == "a1"
-    assert reading(accept_next(worker, program), program)[1]["req-id"] == "a2"
+    assert read_next(accept_next(press, program), program)[1]["req-id"] == "a1"
+    assert read_next(accept_next(worker, program), program)[1]["req-id"] == "a2"
     run_until(program, lambda: not program.tracker.events)
     for client in clients:
         client.close()
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, accept_next, call_back, drained, lists, reading, run_until
+from in_process import UP, accept_next, call_back, drained, lists, read_next, run_until
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -31,7 +31,7 @@
         slow.send(UP[at : at + 1])
         one_read(program)
     assert silent.ended() and program.counters.connections_in_silent == 1
-    assert reading(slow, program)[0].endswith("200 OK") and program.counters.bad_input == 0
+    assert read_next(slow, program)[0].endswith("200 OK") and program.counters.bad_input == 0
 
 
 def test_slow_writer_may_pause_between_parts(serve, dial):
@@ -45,7 +45,7 @@
         slow.send(UP[at : at + 4])
         one_read(program)
     slow.send(UP[16:])
-    assert reading(slow, program)[0].endswith("200 OK")
+    assert read_next(slow, program)[0].endswith("200 OK")
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["first request", "later request"])
@@ -54,7 +54,7 @@
     client = dial(program)
     if asked:
         client.send(UP)
-        assert reading(client, program)[0].endswith("200 OK")
+        assert read_next(client, program)[0].endswith("200 OK")
     client.send(UP[:4])
     run_until(
         program,
@@ -64,7 +64,7 @@
         program, STOPPED_CLIENT_LIMIT - timedelta(milliseconds=150)
     )  # margin for delays of the scheduler
     program.loop.turn(idle=False)
-    assert reading(client, program)[0].endswith("408 Request Timeout") and client.ended()
+    assert read_next(client, program)[0].endswith("408 Request Timeout") and client.ended()
 
 
 def test_endless_request_gets_408(serve, dial):
@@ -77,7 +77,7 @@
         one_read(program)
         let_pass(program, step := timedelta(milliseconds=200))
         passed += step
-    assert program.counters.bad_input and reading(client, program)[0].endswith("408 Request Timeout")
+    assert program.counters.bad_input and read_next(client, program)[0].endswith("408 Request Timeout")
 
 
 def test_each_pipelined_request_has_own_timeout(serve, dial):
@@ -87,7 +87,7 @@
     for _ in range(40):
         let_pass(program, timedelta(milliseconds=400))
         client.send(UP[9:] + UP[:9])
-        assert reading(client, program)[0].endswith("200 OK")
+        assert read_next(client, program)[0].endswith("200 OK")
     assert program.counters.bad_input == 0
 
 
@@ -104,7 +104,7 @@
     assert all(peer.ended() for peer in silent[:4])
     for client in partial:
         client.send(UP[4:])
-        assert reading(client, program)[0].endswith("200 OK")
+        assert read_next(client, program)[0].endswith("200 OK")
 
 
 def test_too_slow_reader_is_closed_in_drain(serve, dial):
@@ -125,7 +125,7 @@
     one_read(program)
     let_pass(program, READ_TIMEOUT - timedelta(milliseconds=500))
     client.send(b"\x00\x01 not HTTP\r\n\r\n")
-    assert reading(client, program)[0].endswith("400 Bad Request")
+    assert read_next(client, program)[0].endswith("400 Bad Request")
     let_pass(program, timedelta(seconds=1))
     program.loop.turn(idle=False)
     assert program.counters.bad_input == 1
@@ -141,10 +141,10 @@
     client = dial(program).send(job("a1") + head + b"\r\n\r\n")
     peer = accept_next(worker, program)
     for name in ("a1", "a2"):
-        assert reading(peer, program)[1]["req-id"] == name
+        assert read_next(peer, program)[1]["req-id"] == name
         peer.answer(202)
         dial(program).send(call_back("s-0", name, result=name))
-        assert reading(client, program)[2] == name.encode()
+        assert read_next(client, program)[2] == name.encode()
         if name == "a1":
             assert client.read()[0] == "HTTP/1.1 100 Continue"  # was sent with the response
             client.send(body)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, accept_next, call_back, lists, reading, run_until
+from in_process import UP, accept_next, call_back, lists, read_next, run_until
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -23,11 +23,11 @@
     """Run a job from its client's request to the response."""
     client = dial(program).send(job(name))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
     dial(program).send(call_back("s-0", name, result="r"))
-    assert reading(client, program)[2] == b"r"
+    assert read_next(client, program)[2] == b"r"
     return peer
 
 
@@ -88,7 +88,7 @@
     for _ in range(5):
         let_pass(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
-    reading(accept_next(worker, program), program)
+    read_next(accept_next(worker, program), program)
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
     assert program.counters.attempts == 1 and only.strikes == 0
     client.close()
@@ -104,7 +104,7 @@
         program.loop.turn(idle=False)
         program.tracker.decide()
         let_pass(program, timedelta(milliseconds=100))
-    assert reading(client, program)[0].startswith("HTTP/1.1 50")  # exactly one response, in time
+    assert read_next(client, program)[0].startswith("HTTP/1.1 50")  # exactly one response, in time
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
     assert only.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
 
@@ -121,7 +121,7 @@
     for _ in range(2):
         let_pass(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
-    assert reading(accept_next(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
+    assert read_next(accept_next(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
@@ -132,7 +132,7 @@
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
-    reading(peer, program)
+    read_next(peer, program)
     sockets.fail("receive", error)
     peer.answer(202)
     run_until(program, lambda: program.counters.failed)
@@ -177,7 +177,7 @@
             program.loop.turn(idle=False)
         assert sockets.made["send"] == 1, "it was retried at once"
     run_until(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
-    assert reading(client, program)[0].endswith("200 OK")
+    assert read_next(client, program)[0].endswith("200 OK")
 
 
 def test_failed_close_ends_only_its_connection(serve, dial, monkeypatch):
@@ -192,7 +192,7 @@
         raise OSError(errno.EIO, "not all was sent")
 
     first = dial(program).send(b"nonsense\r\n\r\n")
-    assert reading(first, program)[0].endswith("400 Bad Request")
+    assert read_next(first, program)[0].endswith("400 Bad Request")
     first.close()
     monkeypatch.setattr(socket.socket, "close", fails)
     run_until(program, lambda: failed)
