--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -26,7 +26,7 @@
     return bool(select.select([sock], [], [], 0)[0])
 
 
-def lists(program, *members):
+def set_workers(program, *members):
     """Give the program a complete list of workers, as discovery would."""
     listed = Listed(revision=99, members=[Member(**fields) for fields in members])
     program.watch._on_update(program.directory.apply_list(listed, Listing.WHOLE))
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,14 +8,14 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, lists, read_next, readable, run_until
+from in_process import UP, accept_next, call_back, read_next, readable, run_until, set_workers
 from world import Listener, altered, job, member
 
 
 def test_client_left_before_read_not_sent(serve, dial, worker):
     """The close waits behind the request in the same socket; it was seen only in the turn after the send."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     client.close()
     run_until(program, lambda: program.counters.taken and not program.tracker.events)
@@ -26,7 +26,7 @@
 def test_client_left_before_connect_not_sent(serve, dial, worker):
     """In a long turn, a client that was connected when it began may have left when the dispatcher decides."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     handle = program.dispatcher.handle
 
@@ -45,7 +45,7 @@
 def test_client_left_during_connect_not_sent(serve, dial, worker, cancel):
     """Where settings allow no withdrawals, the attempt was sent as soon as its connection was up."""
     program = serve(settings=altered(cancel=cancel))
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect_error", lambda sock: client.close())
@@ -60,7 +60,7 @@
         for fill_socket in fill_sockets:  # a full backlog: no further connection comes up
             fill_socket.setblocking(False)
             fill_socket.connect_ex(listener.getsockname())
-        lists(program, member("s-0", listener.getsockname()[1]))
+        set_workers(program, member("s-0", listener.getsockname()[1]))
         client = dial(program).send(job("a1"))
         run_until(program, lambda: program.worker_client._calls)
         client.close()
@@ -73,7 +73,7 @@
 def test_client_left_while_queued_not_sent(serve, dial, worker):
     """The client leaves too late for its close to be seen in this turn, but before the decision to send."""
     program = serve(settings={**altered(), "load_info": {"how": "off", "fields": []}})
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     first = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -99,7 +99,7 @@
 def test_client_left_between_attempts_not_retried(serve, dial, worker):
     program = serve(workers=2)
     second = Listener()
-    lists(program, member("s-0", worker.port), member("s-1", second.port))
+    set_workers(program, member("s-0", worker.port), member("s-1", second.port))
     client = dial(program).send(job("a1"))
     run_until(program, lambda: readable(worker.sock) or readable(second.sock))
     listening = worker if readable(worker.sock) else second
@@ -122,7 +122,7 @@
 def test_requests_followed_by_close_not_sent(serve, dial, worker):
     """Two requests and the close arrive at once: no client waits for either."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(UP)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
@@ -146,7 +146,7 @@
 def test_deadline_header_computed_when_written(serve, dial, worker):
     """The time left was computed when the connect began, 0.2 s before the connection came up."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=200)))
     client = dial(program).send(job("a1", deadline="3000m"))
@@ -164,7 +164,7 @@
 
 def test_retry_deadline_header_is_recomputed(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
     first = time_left(read_next(peer, program))
@@ -184,7 +184,7 @@
         for spec in altered()["services"]
     ]
     program = serve(settings={**altered(dial_timeout=900_000), "services": services})
-    lists(program, member("s-0", worker.port), member("s-1", worker.port))
+    set_workers(program, member("s-0", worker.port), member("s-1", worker.port))
     program.watch.stop()
     program.tracker.watch = lambda: None  # the slow connect must not be that of discovery
     sockets = faulty(program)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, drained, lists, read_next, readable, run_until
+from in_process import UP, accept_next, call_back, drained, read_next, readable, run_until, set_workers
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -51,7 +51,7 @@
 
 def test_sigterm_during_partial_request(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     text = job("a1")
     client = dial(program).send(text[:70])
     run_until(program, lambda: program.frontend.slots.fresh)
@@ -71,7 +71,7 @@
 def test_sigterm_between_parsing_and_decision(serve, dial, worker):
     """Both in one turn: the request was read before the signal, so it has to be answered."""
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     take = program.tracker.take
 
@@ -92,7 +92,7 @@
 
 def test_sigterm_between_decision_and_connect(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect", lambda host, port: program._handle_signals(bytes((signal.SIGTERM,))))
@@ -133,7 +133,7 @@
 def test_pipelined_requests_answered_before_drain_close(serve, dial, worker):
     """The first answer closed the connection, and the pipelined requests read behind it got no answer."""
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1") + job("a2") + UP)
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -153,7 +153,7 @@
 def test_request_meeting_idle_close_not_sent(serve, dial, worker):
     """It is not read: its client sees the close and sends it again elsewhere, so it must not run here."""
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(UP)
     assert read_next(client, program)[0].endswith("200 OK")
     sockets = faulty(program)
@@ -204,7 +204,7 @@
 
 def test_repeated_signals_change_nothing(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -223,7 +223,7 @@
 
 def test_sigterm_while_discovery_is_down(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     run_until(program, lambda: program.counters.watch_failures)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
@@ -244,7 +244,7 @@
 def test_worker_connection_with_unsolicited_data_not_reused(serve, dial, worker, unsolicited):
     """Half a line from a worker was parsed as part of the next call's answer."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     first = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -267,7 +267,7 @@
 def test_202_ended_by_close_is_accepted(serve, dial, worker):
     """An answer without a length ends with its connection; it was counted as a reset."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -280,7 +280,7 @@
 
 def test_truncated_answer_is_a_reset(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -302,7 +302,7 @@
 def test_connections_disable_nagle(serve, dial, worker):
     """Data that the kernel delays is lost if the connection is reset."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
     read_next(accept_next(worker, program), program)
     clients = [connection._stream for connection in program.frontend.slots.all()]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, lists, read_next, run_until
+from in_process import accept_next, call_back, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge.net.http import Address
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("partial", [b"", b"GET /up HT"], ids=["silent", "partial request"])
 def test_job_completes_despite_idle_clients(serve, dial, worker, partial):
     program = serve(sockets=TIGHT)
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     filled(program, dial, partial)
     let_pass(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, accept_next, call_back, lists, read_next, run_until
+from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -20,7 +20,7 @@
 def test_temporary_failure_breaks_nothing(serve, dial, worker, call, error):
     """Guards against an interrupted send treated as a broken connection, which lost the client's response."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     idle = dial(program).send(UP)
     assert read_next(idle, program)[0].endswith("200 OK")
     sockets = faulty(program)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, accept_next, call_back, lists, read_next, run_until
+from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge import interface as io
@@ -69,7 +69,7 @@
 def test_wrong_decision_sends_no_second_attempt(serve, dial, worker):
     """A wrong decision of the dispatcher is counted as a violation and not carried out."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -83,7 +83,7 @@
 
 def test_close_with_unanswered_request_is_counted(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     dial(program).send(job("a1"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -103,7 +103,7 @@
 
 def test_no_violation_on_failed_connects_and_resets(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.fail("connect", errno.EMFILE, errno.ECONNREFUSED)
     client = dial(program).send(job("a1"))
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, lists, read_next, run_until
+from in_process import accept_next, call_back, read_next, run_until, set_workers
 from world import job, member
 
 LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
@@ -24,7 +24,7 @@
 def test_short_deadline_met_behind_long_one(serve, dial, worker, kind):
     """Its answer waited for the one before it, and was late by as much as that one took."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind=kind, deadline="5000m") + job("a2", deadline="400m"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -53,7 +53,7 @@
 
 def test_equal_deadlines_cut_nothing_short(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", deadline="3000m") + job("a2", deadline="3000m"))
     peer = accept_next(worker, program)
     for name in ("a1", "a2"):
@@ -67,7 +67,7 @@
 
 def test_requests_without_deadline_cut_nothing_short(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     pipelined = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + job("a2", deadline="soon")
     client = dial(program).send(job("a1", deadline="5000m") + pipelined)
     peer = accept_next(worker, program)
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import SAFE, UNSAFE, arrival, listing, of, outcome, settings, started
-from in_process import accept_next, lists, read_next, run_until
+from in_process import accept_next, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge import interface as io
@@ -100,7 +100,7 @@
     """Worker entries kept the old positions, and jobs went to machines that cannot run them."""
     program = serve(settings=MACHINES)
     press = Listener()
-    lists(
+    set_workers(
         program,
         member_of_kind("s-plain", worker.port, "plain"),
         member_of_kind("s-press", press.port, "press"),
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, accept_next, call_back, drained, lists, read_next, run_until
+from in_process import UP, accept_next, call_back, drained, read_next, run_until, set_workers
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -136,7 +136,7 @@
 def test_pipelined_expect_continue_is_answered(serve, dial, worker):
     """Guards against a 100 Continue that is never sent, so that the waiting client counts as stopped."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     head, body = job("a2", Expect="100-continue", body=b"large").split(b"\r\n\r\n")
     client = dial(program).send(job("a1") + head + b"\r\n\r\n")
     peer = accept_next(worker, program)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, accept_next, call_back, lists, read_next, run_until
+from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -76,7 +76,7 @@
 def test_local_shortage_is_not_blamed_on_worker(serve, dial, worker, error):
     """Guards against failed connects that each use up an attempt and count as a strike against a worker."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.fail("connect", *[error] * 5)
     client = dial(program).send(job("a1"))
@@ -96,7 +96,7 @@
 
 def test_lasting_shortage_ends_attempt_without_strike(serve, dial, worker):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.fail("connect", *[errno.EMFILE] * 10_000)
     client = dial(program).send(job("a1", deadline="2000m"))
@@ -128,7 +128,7 @@
 def test_break_before_202_is_a_reset(serve, dial, worker, error):
     """Whatever the error: the job may have run, and jobs of such a class are not sent again."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
 def test_break_before_last_byte_is_not_a_run(serve, dial, worker, error):
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     sockets.after("connect_error", lambda sock: sockets.fail("send", error))
     client = dial(program).send(job("a1", kind="charge"))
@@ -225,7 +225,7 @@
 def test_short_writes_and_reads_lose_no_data(serve, dial, worker):
     """Every call on every connection transfers one byte."""
     program = serve()
-    lists(program, member("s-0", worker.port))
+    set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
     send, receive = sockets.send, sockets.receive
     sockets.send = lambda sock, data: send(sock, bytes(data[:1]))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from in_process import lists, run_until
+from in_process import run_until, set_workers
 from world import SETTINGS, job, member
 
 from carthinge.interface import Listing
@@ -124,7 +124,7 @@
     program.loop.turn(idle=False)
     monkeypatch.setattr(time, "time_ns", lambda: real() + step // MICROSECOND * 1000)
     program.loop.turn(idle=False)
-    lists(program, member("s-0", 1, up_since_ms=time.time_ns() // 1_000_000))
+    set_workers(program, member("s-0", 1, up_since_ms=time.time_ns() // 1_000_000))
     run_until(program, lambda: not program.tracker.events)
     worker = program.dispatcher.fleet.workers[worker_number("s-0")]
     assert 0.3 < program.dispatcher.context.capacity_share(worker) < 0.4
