--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -44,7 +44,7 @@
     return peer.read()
 
 
-def call_back(worker, job_id, state="done", result=""):
+def encode_callback(worker, job_id, state="done", result=""):
     """Return the callback of a worker about a job, as bytes."""
     body = f'{{"id":"{job_id}","from":"{worker}","state":"{state}","result":"{result}"}}'.encode()
     return b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, read_next, readable, run_until, set_workers
+from in_process import UP, accept_next, encode_callback, read_next, readable, run_until, set_workers
 from world import Listener, altered, job, member
 
 
@@ -90,7 +90,7 @@
         queued.close()
 
     program.tracker.end = end_and_leave
-    dial(program).send(call_back("s-0", "a1"))
+    dial(program).send(encode_callback("s-0", "a1"))
     run_until(program, lambda: program.counters.client_gone)
     run_until(program, lambda: not program.tracker.events)
     assert first.status() == 200 and program.counters.attempts == 1
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, call_back, drained, read_next, readable, run_until, set_workers
+from in_process import UP, accept_next, drained, encode_callback, read_next, readable, run_until, set_workers
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -62,7 +62,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     first, headers, body = read_next(client, program)
     assert (first, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"r")
     assert client.ended() and ended(program)
@@ -86,7 +86,7 @@
     read_next(peer, program)
     peer.answer(202)
     assert not program._finished
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
 
 
@@ -99,7 +99,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r" and not program._finished
 
 
@@ -139,12 +139,12 @@
     read_next(peer, program)
     peer.answer(202)
     drained(program)
-    dial(program).send(call_back("s-0", "a1", result="r1"))
+    dial(program).send(encode_callback("s-0", "a1", result="r1"))
     first, headers, body = read_next(client, program)
     assert body == b"r1" and "connection" not in headers
     read_next(peer, program)
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a2", result="r2"))
+    dial(program).send(encode_callback("s-0", "a2", result="r2"))
     assert read_next(client, program)[2] == b"r2"
     first, headers, _ = read_next(client, program)
     assert first.endswith("503 Service Unavailable") and headers["connection"] == "close"
@@ -215,7 +215,7 @@
     program.loop.turn(idle=False)
     program._handle_signals(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
     assert program.frontend.draining is drain and not program._finished
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     client.close()
     assert ended(program)
@@ -230,7 +230,7 @@
     read_next(peer, program)
     peer.answer(202)
     drained(program)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     assert ended(program)
 
@@ -249,7 +249,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a1", result="r1"))
+    dial(program).send(encode_callback("s-0", "a1", result="r1"))
     assert read_next(first, program)[2] == b"r1"
     run_until(program, lambda: program.worker_client._idle)
     peer.send(unsolicited)
@@ -274,7 +274,7 @@
     peer.send(b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\ntaken").close()
     run_until(program, lambda: not program.worker_client._calls)
     assert program.counters.attempt_reset == 0
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, read_next, run_until, set_workers
+from in_process import accept_next, encode_callback, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
 from carthinge.net.http import Address
@@ -32,7 +32,7 @@
     read_next(peer, program)
     peer.answer(202)
     let_pass(program, program.config.site.connect_timeout)
-    caller = dial(program).send(call_back("s-0", "a1", result="r"))
+    caller = dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(caller, program)[0].split()[1] == "204"
     assert read_next(client, program)[2] == b"r"
 
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
+from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -32,7 +32,7 @@
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
     sockets.fail(call, error)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     idle.send(UP)
     assert read_next(idle, program)[0].endswith("200 OK")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
+from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge import interface as io
@@ -77,7 +77,7 @@
     program.tracker._send(io.Send(tracked.number, tracked.attempts[0].target.number))
     assert program.counters.invariants_violated == 1 and program.counters.attempts == 1
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
 
 
@@ -113,7 +113,7 @@
     retried = read_next(peer, program)
     assert retried[1]["req-id"] == "a1"
     peer.answer(202)
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     run_until(program, lambda: not program.tracker.tracked_requests)
     assert program.counters.invariants_violated == 0
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import let_pass
-from in_process import accept_next, call_back, read_next, run_until, set_workers
+from in_process import accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
 LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
@@ -36,7 +36,7 @@
     let_pass(program, timedelta(milliseconds=50) + LATE_LIMIT - timedelta(milliseconds=150))
     assert statuses(client, program, 2) == [504, 503]
     assert program.counters.invariants_violated == 0
-    dial(program).send(call_back("s-0", "a1", result="late"))
+    dial(program).send(encode_callback("s-0", "a1", result="late"))
     run_until(program, lambda: program.counters.job_events)
     assert program.counters.served == 0
 
@@ -61,7 +61,7 @@
         peer.answer(202)
         run_until(program, lambda: not program.worker_client._calls)
         let_pass(program, timedelta(seconds=1))
-        dial(program).send(call_back("s-0", name, result=name))
+        dial(program).send(encode_callback("s-0", name, result=name))
         assert read_next(client, program)[2] == name.encode()
 
 
@@ -74,6 +74,6 @@
     read_next(peer, program)
     peer.answer(202)
     let_pass(program, timedelta(seconds=1))
-    dial(program).send(call_back("s-0", "a1", result="r"))
+    dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     assert statuses(client, program, 2) == [200, 400]
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, accept_next, call_back, drained, read_next, run_until, set_workers
+from in_process import UP, accept_next, drained, encode_callback, read_next, run_until, set_workers
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -143,7 +143,7 @@
     for name in ("a1", "a2"):
         assert read_next(peer, program)[1]["req-id"] == name
         peer.answer(202)
-        dial(program).send(call_back("s-0", name, result=name))
+        dial(program).send(encode_callback("s-0", name, result=name))
         assert read_next(client, program)[2] == name.encode()
         if name == "a1":
             assert client.read()[0] == "HTTP/1.1 100 Continue"  # was sent with the response
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, accept_next, call_back, read_next, run_until, set_workers
+from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -26,7 +26,7 @@
     read_next(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
-    dial(program).send(call_back("s-0", name, result="r"))
+    dial(program).send(encode_callback("s-0", name, result="r"))
     assert read_next(client, program)[2] == b"r"
     return peer
 
