--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -50,7 +50,7 @@
     return b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def drained(program):
+def drain_program(program):
     """Stop the program by SIGTERM, and advance its clock until it no longer keeps connections alive."""
     program._handle_signals(bytes((signal.SIGTERM,)))
     program.loop.turn(idle=False)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -6,7 +6,16 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, drained, encode_callback, read_next, readable, run_until, set_workers
+from in_process import (
+    UP,
+    accept_next,
+    drain_program,
+    encode_callback,
+    read_next,
+    readable,
+    run_until,
+    set_workers,
+)
 from world import SETTINGS, job, member
 
 FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
@@ -29,7 +38,7 @@
 def test_sigterm_between_accept_and_first_byte(serve, dial):
     """The accepted connection was closed unread, and its request was rejected on a new connection."""
     program = serve(settings=FIVE_SCHEDULERS)
-    drained(program)
+    drain_program(program)
     client = dial(program)
     run_until(program, lambda: program.frontend.slots.fresh)
     for _ in range(5):
@@ -43,7 +52,7 @@
 
 def test_silent_connection_does_not_delay_drain(serve, dial):
     program = serve(settings=FIVE_SCHEDULERS)
-    drained(program)
+    drain_program(program)
     silent = dial(program)
     run_until(program, lambda: program.frontend.slots.fresh)
     assert ended(program) and silent.ended()
@@ -57,7 +66,7 @@
     run_until(program, lambda: program.frontend.slots.fresh)
     for _ in range(3):
         program.loop.turn(idle=False)
-    drained(program)
+    drain_program(program)
     client.send(text[70:])
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -138,7 +147,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    drained(program)
+    drain_program(program)
     dial(program).send(encode_callback("s-0", "a1", result="r1"))
     first, headers, body = read_next(client, program)
     assert body == b"r1" and "connection" not in headers
@@ -159,7 +168,7 @@
     sockets = faulty(program)
     read = sockets.made["receive"]
     sockets.before("close", lambda sock: client.send(job("a1")))
-    drained(program)
+    drain_program(program)
     assert client.ended() and sockets.made["receive"] == read
     for _ in range(20):
         program.loop.turn(idle=False)
@@ -172,7 +181,7 @@
 def test_answer_survives_trailing_input(serve, dial):
     """A close with unread input resets the connection, which would lose the answer."""
     program = serve(settings=FIVE_SCHEDULERS)
-    drained(program)
+    drain_program(program)
     client = dial(program).send(UP)
     sockets = faulty(program)
     sockets.before("shut_down_sending", lambda sock: client.send(b"x" * 100_000))
@@ -185,7 +194,7 @@
 def test_backlog_connection_served_before_exit(serve, dial, monkeypatch):
     """The kernel had the whole request in the backlog; closing the listener reset its connection."""
     program = serve(settings=FIVE_SCHEDULERS)
-    drained(program)
+    drain_program(program)
     while program._quiet_since is None:
         program.loop.turn(idle=False)
         let_pass(program, timedelta(milliseconds=10))
@@ -229,7 +238,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    drained(program)
+    drain_program(program)
     dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     assert ended(program)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, accept_next, drained, encode_callback, read_next, run_until, set_workers
+from in_process import UP, accept_next, drain_program, encode_callback, read_next, run_until, set_workers
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -110,7 +110,7 @@
 def test_too_slow_reader_is_closed_in_drain(serve, dial):
     program = serve(settings=MANY)
     client = dial(program).send(UP)
-    drained(program)
+    drain_program(program)
     run_until(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
     let_pass(program, LINGER_TIMEOUT)
     run_until(program, lambda: len(program.frontend.slots) == 0)
