--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -67,14 +67,14 @@
     )
 
 
-def of(kind, actions):
+def only(kind, actions):
     return [action for action in actions if isinstance(action, kind)]
 
 
 def serve(dispatcher, count, every):
     """Send jobs one after the other; each is served at once by the worker that it is sent to."""
     for step in range(count):
-        sends = of(io.Send, dispatcher.handle(step * every, [arrival(step, now=step * every)]))
+        sends = only(io.Send, dispatcher.handle(step * every, [arrival(step, now=step * every)]))
         dispatcher.handle(step * every + 1, [outcome(step, 0, s.worker, io.Result.OK, 50_000) for s in sends])
 
 
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, arrival, listing, of, outcome, serve, settings, started
+from helpers import KEYED, SAFE, UNSAFE, arrival, listing, only, outcome, serve, settings, started
 from world import SETTINGS
 
 from carthinge import interface as io
@@ -20,7 +20,7 @@
     sent = []
     while len(sent) < 99:
         job = first + len(sent)
-        if not (sends := of(io.Send, dispatcher.handle(now, [arrival(job, now=now)]))):
+        if not (sends := only(io.Send, dispatcher.handle(now, [arrival(job, now=now)]))):
             return sent
         sent.append(sends[0].worker)
     raise AssertionError("never busy")
@@ -36,7 +36,7 @@
         blocked.handle(2, [arrival(900)]),
         *(blocked.handle(now, [io.Timer(0)]) for now in range(50_000, 400_000, 50_000)),
     ]
-    assert not [action for batch in actions for action in of(io.Probe, batch)]
+    assert not [action for batch in actions for action in only(io.Probe, batch)]
 
 
 @pytest.mark.parametrize(("window", "copies"), [(40_000_000, 1), (100_000, 0)])
@@ -44,20 +44,20 @@
     cells = [io.WorkerEntry(worker, cell=(worker + 1) // 2) for worker in (1, 2, 3, 4)]
     for seed in range(8):
         dispatcher = started(settings(replace(KEYED, window=window)), *cells, seed=seed)
-        first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-        again = [send.worker for send in of(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))]
+        first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+        again = [send.worker for send in only(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))]
         assert again == [{1: 2, 2: 1, 3: 4, 4: 3}[first]] * copies
 
 
 def test_unsafe_job_is_not_retried_after_start():
     dispatcher = started(settings(UNSAFE), 1, 2, 3)
-    first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     dispatcher.handle(2, [io.ProgressReport(1, 0, first)])
     again = dispatcher.handle(4_000_000, [io.Timer(0), outcome(1, 0, first, R.CANCELLED)])
-    assert not of(io.Send, again) and of(io.Fail, again)
-    first = of(io.Send, dispatcher.handle(4_000_001, [arrival(2, now=4_000_001)]))[0].worker
-    assert len(of(io.Send, dispatcher.handle(4_000_002, [outcome(2, 0, first, R.FULL)]))) == 1
-    assert not of(io.Send, dispatcher.handle(8_000_000, [io.Timer(0)]))  # while that attempt is open
+    assert not only(io.Send, again) and only(io.Fail, again)
+    first = only(io.Send, dispatcher.handle(4_000_001, [arrival(2, now=4_000_001)]))[0].worker
+    assert len(only(io.Send, dispatcher.handle(4_000_002, [outcome(2, 0, first, R.FULL)]))) == 1
+    assert not only(io.Send, dispatcher.handle(8_000_000, [io.Timer(0)]))  # while that attempt is open
 
 
 def test_own_zone_is_preferred_at_equal_load():
@@ -81,7 +81,7 @@
         dispatcher.handle(now, [arrival(now), outcome(now - 1, 0, 1, R.OK, report=(9.0, 3.0))])
     dispatcher.handle(3, [outcome(2, 0, 1, R.OK, report=(9.0, 3.0)), *(arrival(n) for n in (3, 4, 5))])
     ends = [outcome(n, 0, 1, R.OK, report=(9.0, free)) for n in (3, 4)]
-    assert len(of(io.Send, dispatcher.handle(4, ends + [arrival(n) for n in (6, 7, 8, 9)]))) == sends
+    assert len(only(io.Send, dispatcher.handle(4, ends + [arrival(n) for n in (6, 7, 8, 9)]))) == sends
 
 
 def start_job(dispatcher, request=1, timeout=25_000_000):
@@ -97,9 +97,11 @@
     dispatcher = started(settings(LONG, progress=INTERVAL), 1, 2)
     worker = start_job(dispatcher)
     for at in range(1, 5):
-        assert not of(io.Send, dispatcher.handle(at * INTERVAL, [io.ProgressReport(1, 0, worker, 0.1 * at)]))
-    assert not of(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 12 // 5, [io.Timer(0)]))
-    assert len(of(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 13 // 5, [io.Timer(0)]))) == 1
+        assert not only(
+            io.Send, dispatcher.handle(at * INTERVAL, [io.ProgressReport(1, 0, worker, 0.1 * at)])
+        )
+    assert not only(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 12 // 5, [io.Timer(0)]))
+    assert len(only(io.Send, dispatcher.handle(4 * INTERVAL + INTERVAL * 13 // 5, [io.Timer(0)]))) == 1
 
 
 def test_silent_job_is_hedged_despite_others():
@@ -107,19 +109,19 @@
     start_job(dispatcher, 1), start_job(dispatcher, 2)
     dispatcher.handle(3, [listing(2, kind=io.Listing.CHANGES)])
     told = [dispatcher.handle(at * INTERVAL, [io.ProgressReport(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
-    assert [send.request for batch in told for send in of(io.Send, batch)] == [1]
+    assert [send.request for batch in told for send in only(io.Send, batch)] == [1]
 
 
 def test_silence_is_noticed_before_deadline():
     dispatcher = started(settings(progress=INTERVAL), 1, 2)
     start_job(dispatcher, timeout=5_000_000)
-    assert of(io.Send, dispatcher.handle(4_500_000, [io.Timer(0)]))  # its expected running time is 50 ms
+    assert only(io.Send, dispatcher.handle(4_500_000, [io.Timer(0)]))  # its expected running time is 50 ms
 
 
 def test_unsafe_job_leaves_retry_budget_to_others():
     dispatcher = started(settings(SAFE, UNSAFE), 1, 2, 3)
     dispatcher.handle(1, [arrival(1, job_class=1), arrival(2)])
-    assert [send.request for send in of(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))] == [2]
+    assert [send.request for send in only(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))] == [2]
 
 
 @pytest.mark.parametrize(("job_class", "timeout"), [(0, 5_000_000), (1, 25_000_000)])
@@ -138,7 +140,7 @@
     dispatcher = started(settings(**REPORTING), 1, 2, 3)
     sent = []
     for now in range(10_000, 410_000, 10_000):
-        worker = of(io.Send, dispatcher.handle(now, [arrival(now, now=now)]))[0].worker
+        worker = only(io.Send, dispatcher.handle(now, [arrival(now, now=now)]))[0].worker
         sent.append(worker)
         dispatcher.handle(
             now + 1,
@@ -161,23 +163,25 @@
     cells = [io.WorkerEntry(worker, cell=(worker + 1) // 2) for worker in (1, 2, 3, 4)]
     valuable = replace(KEYED, worth=8.0, window=40_000_000)
     dispatcher = started(settings(valuable, SAFE, may_hedge=False), *cells)
-    first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     # The only other worker of its cell is excluded.
     dispatcher.fleet.workers[{1: 2, 2: 1, 3: 4, 4: 3}[first]].avoid_until = 10**9
     dispatcher.handle(2, [outcome(1, 0, first, R.ERROR)])
-    assert of(io.Send, dispatcher.handle(3, [arrival(2, job_class=1)]))
+    assert only(io.Send, dispatcher.handle(3, [arrival(2, job_class=1)]))
 
 
 def test_worker_with_queued_job_gets_no_more():
     """Others hold its slots: further jobs would queue there, where worth and shares do not apply."""
     for told in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
         dispatcher = started(settings(may_hedge=False, may_cancel=False), 1)
-        assert of(io.Send, dispatcher.handle(1, [arrival()]))
-        assert of(io.Send, dispatcher.handle(2, [arrival(2)]))  # without a report it does not count as queued
+        assert only(io.Send, dispatcher.handle(1, [arrival()]))
+        assert only(
+            io.Send, dispatcher.handle(2, [arrival(2)])
+        )  # without a report it does not count as queued
         dispatcher.handle(3, [outcome(2, 0, 1, R.OK)])
         dispatcher.handle(30_000, [io.Timer(0)])
-        assert not of(io.Send, dispatcher.handle(30_001, [arrival(3)]))
-        assert [send.request for send in of(io.Send, dispatcher.handle(30_002, [told]))] == [3]
+        assert not only(io.Send, dispatcher.handle(30_001, [arrival(3)]))
+        assert [send.request for send in only(io.Send, dispatcher.handle(30_002, [told]))] == [3]
 
 
 @pytest.mark.parametrize(("worth", "first"), [(1.0, 900), (2.0, 900), (4.0, 104)])
@@ -193,7 +197,7 @@
         events = [arrival(900, job_class=1, now=now)] if ended == 100 else []
         order += [
             send.request
-            for send in of(io.Send, dispatcher.handle(now, [*events, outcome(ended, 0, 1, R.OK)]))
+            for send in only(io.Send, dispatcher.handle(now, [*events, outcome(ended, 0, 1, R.OK)]))
         ]
     assert order[0] == first and set(order) <= {104, 900}
 
@@ -201,7 +205,7 @@
 def test_failing_discovery_is_polled_with_delay():
     dispatcher = started(settings(SAFE, ask_within=0, subscribe=True), 1)
     failed = io.WorkerList(io.Listing.FAILED, ())
-    assert not of(io.Watch, dispatcher.handle(1, [failed])) and not of(
+    assert not only(io.Watch, dispatcher.handle(1, [failed])) and not only(
         io.Watch, dispatcher.handle(100, [failed])
     )
-    assert of(io.Watch, dispatcher.handle(600_000, [io.Timer(0)]))  # within the drain grace
+    assert only(io.Watch, dispatcher.handle(600_000, [io.Timer(0)]))  # within the drain grace
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from helpers import listing, of, settings, started
+from helpers import listing, only, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
 from in_process import accept_next, read_next, run_until
@@ -68,7 +68,7 @@
         now += 1000
         gateway.handle(now, [listing(kind=io.Listing.FAILED)])
         paused = now
-        while not of(io.Watch, gateway.handle(now, [io.Timer(0)])):
+        while not only(io.Watch, gateway.handle(now, [io.Timer(0)])):
             now += 50_000
     assert (now - paused) * MICROSECOND + RESPONSE_MARGIN < MAX_PROPAGATION
     few = min(instances, 100) == instances
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """Decisions that all schedulers make by the same rules: retry_after, load shedding, budgets and backoff."""
 
 import pytest
-from helpers import WORTHLESS_LATE, arrival, of, outcome, settings, started
+from helpers import WORTHLESS_LATE, arrival, only, outcome, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -149,7 +149,7 @@
                 io.ProgressReport(request, attempt, worker),
                 outcome(request, attempt, worker, io.Result.OK),
             ]
-        for send in of(io.Send, gateway.handle(now, events)):
+        for send in only(io.Send, gateway.handle(now, events)):
             running.append((send.request, 0, send.worker, now))
     return gateway
 
@@ -158,13 +158,15 @@
     gateway = overloaded()
     assert gateway.context.level.shedding
     actions = gateway.handle(8_100_000, [arrival(200 + n, n % 2, now=8_100_000) for n in range(20)])
-    refused = {refusal.request for refusal in of(io.Refuse, actions)}
+    refused = {refusal.request for refusal in only(io.Refuse, actions)}
     assert refused and all(request % 2 for request in refused)
 
 
 def test_jobs_with_late_worth_are_kept():
     gateway = overloaded(late_worth=0.1)
-    assert not of(io.Refuse, gateway.handle(8_100_000, [arrival(200 + n, now=8_100_000) for n in range(20)]))
+    assert not only(
+        io.Refuse, gateway.handle(8_100_000, [arrival(200 + n, now=8_100_000) for n in range(20)])
+    )
     assert gateway.context.level.shed == 0
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -3,7 +3,7 @@
 import sys
 from collections import Counter
 
-from helpers import SAFE, arrival, listing, of, outcome, settings, started
+from helpers import SAFE, arrival, listing, only, outcome, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -41,7 +41,7 @@
 
 def send_and_finish(dispatcher, now, request, key):
     actions = dispatcher.handle(now, [arrival(request, now=now, key=key)])
-    worker = of(io.Send, actions)[0].worker
+    worker = only(io.Send, actions)[0].worker
     dispatcher.handle(now + 1000, [outcome(request, 0, worker, io.Result.OK)])
     return worker
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import SAFE, WORTHLESS_LATE, arrival, listing, of, outcome, settings, started
+from helpers import SAFE, WORTHLESS_LATE, arrival, listing, only, outcome, settings, started
 
 from carthinge import Dispatcher
 from carthinge import interface as io
@@ -33,21 +33,21 @@
 
 def test_least_outstanding_work_is_picked():
     dispatcher = started(settings(), 1, 2)
-    first = of(io.Send, dispatcher.handle(1, [arrival(1, hint=900_000)]))[0].worker
-    second = of(io.Send, dispatcher.handle(2, [arrival(2)]))[0].worker
+    first = only(io.Send, dispatcher.handle(1, [arrival(1, hint=900_000)]))[0].worker
+    second = only(io.Send, dispatcher.handle(2, [arrival(2)]))[0].worker
     assert {first, second} == {1, 2}
-    third = of(io.Send, dispatcher.handle(3, [arrival(3)]))[0].worker
+    third = only(io.Send, dispatcher.handle(3, [arrival(3)]))[0].worker
     assert third == second  # outstanding work is 50 ms there and 900 ms at the other
 
 
 def test_job_refused_without_eligible_worker_held_while_busy():
     config = settings(io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5, kind=1))
-    assert of(io.Refuse, started(config, 1).handle(1, [arrival()]))
+    assert only(io.Refuse, started(config, 1).handle(1, [arrival()]))
     dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     held = dispatcher.handle(3, [arrival(2)])
-    assert not of(io.Send, held) and not of(io.Refuse, held)
+    assert not only(io.Send, held) and not only(io.Refuse, held)
 
 
 def test_stale_report_is_ignored():
@@ -55,7 +55,7 @@
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     dispatcher.handle(3, [arrival(2)])
-    assert of(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
+    assert only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
 
 def test_held_job_refused_before_client_gives_up():
@@ -64,7 +64,7 @@
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     dispatcher.fleet.workers[1].avoid_until = 10**9
     dispatcher.handle(3, [arrival(2)])
-    assert of(io.Refuse, dispatcher.handle(5_000_000 - 16_000, [io.Timer(0)])) == [io.Refuse(2, 0)]
+    assert only(io.Refuse, dispatcher.handle(5_000_000 - 16_000, [io.Timer(0)])) == [io.Refuse(2, 0)]
 
 
 def test_job_worthless_when_late_refused_early():
@@ -73,23 +73,23 @@
     dispatcher.handle(1, [arrival(1, hint=10_000)])
     dispatcher.fleet.workers[1].avoid_until = 10**9
     dispatcher.handle(2, [arrival(2, hint=10_000)])
-    assert [refusal.request for refusal in of(io.Refuse, dispatcher.handle(200_000, [io.Timer(0)]))] == [2]
+    assert [refusal.request for refusal in only(io.Refuse, dispatcher.handle(200_000, [io.Timer(0)]))] == [2]
 
 
 def test_client_retry_keeps_age_of_first_request():
     dispatcher = started(settings(WORTHLESS_LATE, tells_start=False), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     late = io.Arrival(2, 0, 5_000_001, hint=50_000)
-    assert of(io.Refuse, dispatcher.handle(2_000_000, [late])) == [io.Refuse(2, 0)]
+    assert only(io.Refuse, dispatcher.handle(2_000_000, [late])) == [io.Refuse(2, 0)]
 
 
 def test_draining_or_gone_worker_gets_no_jobs():
     dispatcher = started(settings(), 1, 2)
     dispatcher.handle(1, [listing(io.WorkerEntry(1, state=io.State.DRAINING), kind=io.Listing.CHANGES)])
-    sends = [of(io.Send, dispatcher.handle(2 + i, [arrival(i)]))[0].worker for i in range(4)]
+    sends = [only(io.Send, dispatcher.handle(2 + i, [arrival(i)]))[0].worker for i in range(4)]
     assert set(sends) == {2}
     dispatcher.handle(9, [listing(1, kind=io.Listing.WHOLE)])
-    assert of(io.Send, dispatcher.handle(10, [arrival(50)]))[0].worker == 1
+    assert only(io.Send, dispatcher.handle(10, [arrival(50)]))[0].worker == 1
 
 
 def test_held_job_moves_when_worker_leaves():
@@ -100,17 +100,17 @@
     actions = dispatcher.handle(
         4, [listing(io.WorkerEntry(1, state=io.State.GONE), io.WorkerEntry(7), kind=io.Listing.CHANGES)]
     )
-    assert [action.worker for action in of(io.Send, actions)] == [7]
+    assert [action.worker for action in only(io.Send, actions)] == [7]
 
 
 def test_watch_delayed_at_start_and_retried():
     config = settings(subscribe=True, instances=300, position=200)
     dispatcher = started(config, 1)
-    due = of(io.SetTimer, dispatcher.handle(1, []))
-    assert not of(io.Watch, dispatcher.handle(2, [])) and not due
-    assert of(io.Watch, dispatcher.handle(9_000_000, [io.Timer(0)]))
+    due = only(io.SetTimer, dispatcher.handle(1, []))
+    assert not only(io.Watch, dispatcher.handle(2, [])) and not due
+    assert only(io.Watch, dispatcher.handle(9_000_000, [io.Timer(0)]))
     dispatcher.handle(9_000_001, [io.WorkerList(io.Listing.FAILED)])
-    assert of(io.Watch, dispatcher.handle(19_000_001, [io.Timer(0)]))
+    assert only(io.Watch, dispatcher.handle(19_000_001, [io.Timer(0)]))
 
 
 def test_absurd_hint_keeps_mean_work():
@@ -130,16 +130,16 @@
 def test_peer_load_counts():
     config = settings(may_send_messages=True, instances=2, price_message=0.01)
     sender, receiver = started(config, 1, 2), started(config, 1, 2)
-    busy = of(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
-    told = of(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
+    busy = only(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
+    told = only(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
     receiver.handle(70_000, [io.Message(1, told[0].body)])
-    assert of(io.Send, receiver.handle(70_001, [arrival(5)]))[0].worker == 3 - busy
+    assert only(io.Send, receiver.handle(70_001, [arrival(5)]))[0].worker == 3 - busy
 
 
 def test_schedulers_agree_on_home_of_key():
     config = settings(price_fetch=0.1)
     picks = {
-        of(io.Send, started(config, *range(1, 40), seed=seed).handle(1, [arrival(key=77)]))[0].worker
+        only(io.Send, started(config, *range(1, 40), seed=seed).handle(1, [arrival(key=77)]))[0].worker
         for seed in range(8)
     }
     assert len(picks) == 1
@@ -147,7 +147,7 @@
 
 def test_late_and_unknown_ids_ignored():
     dispatcher = started(settings(), 1)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     dispatcher.handle(2, [outcome(1, 0, sent, R.OK)])
     strange = [
         outcome(1, 0, sent, R.ERROR),
@@ -184,7 +184,7 @@
     """After a slow period all jobs were refused at once, and nothing was learned any more (i4460a8)."""
     dispatcher = started(settings(WORTHLESS_LATE), 1)
     dispatcher.fleet.kinds[0].slowdown = 50.0
-    assert of(io.Send, dispatcher.handle(1, [arrival()]))
+    assert only(io.Send, dispatcher.handle(1, [arrival()]))
 
 
 def test_priced_connections_give_even_worker_subsets():
@@ -197,7 +197,7 @@
         for worker in subset:
             schedulers[worker] += 1
         for step in range(30):
-            for send in of(io.Send, dispatcher.handle(step + 1, [arrival(step)])):
+            for send in only(io.Send, dispatcher.handle(step + 1, [arrival(step)])):
                 assert send.worker in subset
                 dispatcher.handle(step + 1, [outcome(step, 0, send.worker, R.OK)])
     assert set(schedulers.values()) == {8}
@@ -228,7 +228,7 @@
         )
         dispatcher.fleet.kinds[0].slots, dispatcher.fleet.kinds[0].slowdown = 3, 0.4
         dispatcher.fleet.kinds[1].slots, dispatcher.fleet.kinds[1].slowdown = 2, 1.6
-        for send in of(io.Send, dispatcher.handle(1, [arrival(n) for n in range(3)])):
+        for send in only(io.Send, dispatcher.handle(1, [arrival(n) for n in range(3)])):
             got[dispatcher.fleet.workers[send.worker].entry.kind] += 1
     # One half of the workers has six times the capacity of the other.
     assert got[0] + got[1] == 600 and 4 < got[0] / got[1] < 9
@@ -240,7 +240,7 @@
     slots = []
     for step in range(40):
         now = 1 + step * 300_000
-        send = of(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))[0]
+        send = only(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))[0]
         slots.append(send.worker)
         dispatcher.handle(now + 100_000, [outcome(step, 0, send.worker, R.OK, report=(1.0,))])
     assert len(set(slots)) <= 8
@@ -249,7 +249,7 @@
 def test_absurd_ratings_do_not_break_selection():
     entries = [io.WorkerEntry(n, kind=n % 2, rating=1.7e308) for n in range(1, 41)]
     dispatcher = started(unseen_load_settings(), *entries)
-    assert of(io.Send, dispatcher.handle(1, [arrival()]))
+    assert only(io.Send, dispatcher.handle(1, [arrival()]))
 
 
 def test_worker_after_ineligible_ones_gets_no_surplus():
@@ -259,7 +259,7 @@
         worker.avoid_until = 10**9
     met = dict.fromkeys((worker.id for worker in order[6:]), 0)
     for step in range(600):
-        send = of(io.Send, dispatcher.handle(step + 1, [arrival(step)]))[0]
+        send = only(io.Send, dispatcher.handle(step + 1, [arrival(step)]))[0]
         met[send.worker] += 1
         dispatcher.handle(step + 1, [outcome(step, 0, send.worker, R.FULL, finished=True)])
         dispatcher.fleet.workers[send.worker].avoid_until = 0
@@ -291,16 +291,16 @@
     dispatcher = reporting(1)
     dispatcher.handle(3, [arrival(1)])
     dispatcher.handle(4, [outcome(1, 0, 1, R.OK, report=(0.0,))])
-    assert of(io.Send, dispatcher.handle(5, [arrival(2)]))
+    assert only(io.Send, dispatcher.handle(5, [arrival(2)]))
 
 
 def test_worker_never_gets_more_than_its_slots():
     dispatcher = reporting(1)
     dispatcher.fleet.workers[1].cap = 50.0
     late = 2_000_000  # the report is stale by then
-    assert of(io.Send, dispatcher.handle(late, [arrival(1, now=late), arrival(2, now=late)]))
-    assert not of(io.Send, dispatcher.handle(late + 1, [arrival(3, now=late)]))
-    assert of(io.Send, dispatcher.handle(late + 2, [outcome(1, 0, 1, R.OK)]))
+    assert only(io.Send, dispatcher.handle(late, [arrival(1, now=late), arrival(2, now=late)]))
+    assert not only(io.Send, dispatcher.handle(late + 1, [arrival(3, now=late)]))
+    assert only(io.Send, dispatcher.handle(late + 2, [outcome(1, 0, 1, R.OK)]))
 
 
 @pytest.mark.parametrize("job_class", [SAFE, WORTHLESS_LATE])
@@ -308,7 +308,7 @@
     dispatcher = started(
         settings(job_class, may_send_retry_after=True, max_retry_after=2_000_000, position=3)
     )
-    refusals = of(io.Refuse, dispatcher.handle(1, [arrival(number) for number in range(1, 101)]))
+    refusals = only(io.Refuse, dispatcher.handle(1, [arrival(number) for number in range(1, 101)]))
     delays = sorted(refusal.retry_after for refusal in refusals)
     assert len(delays) == 100 and delays[0] >= 1_000_000 and delays[-1] <= 2_000_000
     assert max(later - sooner for sooner, later in pairwise(delays)) < 100_000
@@ -325,7 +325,7 @@
     dispatcher.fleet.workers[1].avoid_until = 10**9
     now = 50_100_000
     dispatcher.handle(now, [arrival(number, now=now, hint=500_000) for number in range(200, 208)])
-    refusals = of(io.Refuse, dispatcher.handle(now + 4_000_000, [io.Timer(0)]))
+    refusals = only(io.Refuse, dispatcher.handle(now + 4_000_000, [io.Timer(0)]))
     assert len(refusals) == 8 and refusals[0].retry_after > 3_000_000 > refusals[-1].retry_after
 
 
@@ -344,7 +344,7 @@
     dispatcher = started(REPORTED, 1, 2)
     for step in range(40):
         now = step * 100_000
-        sends = of(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))
+        sends = only(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))
         dispatcher.handle(now + 50_000, [outcome(step, 0, s.worker, R.OK, report=(3.0,)) for s in sends])
     return dispatcher, now + 100_000
 
@@ -359,7 +359,7 @@
         now = began + 1 + step * 10_000
         ended, running = [run for run in running if run[0] <= now], [run for run in running if run[0] > now]
         events = [outcome(request, 0, worker, R.OK, report=(3.0,)) for _, worker, request in ended]
-        for send in of(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)])):
+        for send in only(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)])):
             work[send.worker] += 50_000
             running.append((now + 50_000, send.worker, send.request))
     capacity = 3 * REPORTED.cold_start_share * REPORTED.fall_window
@@ -371,16 +371,16 @@
     dispatcher, now = with_reported_slots()
     began = io.WorkerEntry(1, started=now)
     dispatcher.handle(now, [listing(began, kind=io.Listing.CHANGES), io.OperatorExclusion(2, True)])
-    assert not of(io.Send, dispatcher.handle(now + 1, [arrival(100, now=now, hint=4_000_000)]))
+    assert not only(io.Send, dispatcher.handle(now + 1, [arrival(100, now=now, hint=4_000_000)]))
     later = dispatcher.handle(now + 2, [arrival(101, job_class=1, now=now)])
-    assert [send.request for send in of(io.Send, later)] == [101]
+    assert [send.request for send in only(io.Send, later)] == [101]
 
 
 def test_ended_job_leaves_no_timers():
     """Timers of ended jobs were kept until their deadlines, and the job records with them."""
     dispatcher = started(settings(tells_start=False), 1, 2)
     for step in range(5000):
-        for sent in of(io.Send, dispatcher.handle(step, [arrival(step, now=step)])):
+        for sent in only(io.Send, dispatcher.handle(step, [arrival(step, now=step)])):
             dispatcher.handle(step, [outcome(step, 0, sent.worker, io.Result.OK)])
     assert not dispatcher.jobs and len(dispatcher.context.timers.heap) <= 128
 
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -1,7 +1,7 @@
 """Outcomes of attempts and further ones: retries, hedges and silent attempts."""
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, WORTHLESS_LATE, arrival, of, outcome, serve, settings, started
+from helpers import KEYED, SAFE, UNSAFE, WORTHLESS_LATE, arrival, only, outcome, serve, settings, started
 
 from carthinge import interface as io
 
@@ -11,43 +11,45 @@
 @pytest.mark.parametrize("result", [R.FULL, R.CONNECT_FAILED, R.NOT_SENT])
 def test_unsafe_job_retried_if_it_never_ran(result):
     dispatcher = started(settings(UNSAFE), 1, 2)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-    again = of(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, result)]))
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    again = only(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, result)]))
     assert [action.worker for action in again] == [3 - sent] or (result is R.NOT_SENT and again)
 
 
 @pytest.mark.parametrize("result", [R.ERROR, R.TIMEOUT, R.RESET, R.CANCELLED])
 def test_unsafe_job_that_may_have_run_fails(result):
     dispatcher = started(settings(UNSAFE), 1, 2)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     actions = dispatcher.handle(2, [outcome(1, 0, sent, result)])
-    assert of(io.Fail, actions) == [io.Fail(1)] and not of(io.Send, actions) and not of(io.Refuse, actions)
+    assert (
+        only(io.Fail, actions) == [io.Fail(1)] and not only(io.Send, actions) and not only(io.Refuse, actions)
+    )
 
 
 def test_keyed_job_retried_only_in_scope_and_window():
     cells = [io.WorkerEntry(1, cell=1), io.WorkerEntry(2, cell=1), io.WorkerEntry(3, cell=2)]
     for when, sends in ((2, 1), (2_000_000, 0)):
         dispatcher = started(settings(KEYED, may_hedge=False), *cells)
-        sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+        sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
         actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
         if sent == 3:
-            assert not of(io.Send, actions) and of(io.Fail, actions)
+            assert not only(io.Send, actions) and only(io.Fail, actions)
         else:
-            assert [a.worker for a in of(io.Send, actions)] == [3 - sent] * sends
+            assert [a.worker for a in only(io.Send, actions)] == [3 - sent] * sends
 
 
 def test_attempts_end_at_the_limit():
     dispatcher = started(settings(try_limit=2), 1, 2, 3)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-    sent = of(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, R.ERROR)]))[0].worker
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    sent = only(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, R.ERROR)]))[0].worker
     actions = dispatcher.handle(5, [outcome(1, 1, sent, R.ERROR)])
-    assert not of(io.Send, actions) and of(io.Refuse, actions)
+    assert not only(io.Send, actions) and only(io.Refuse, actions)
 
 
 def test_silent_worker_suspected_and_safe_job_copied():
     dispatcher = started(settings(), 1, 2)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-    copies = of(io.Send, dispatcher.handle(400_000, [io.Timer(0)]))
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    copies = only(io.Send, dispatcher.handle(400_000, [io.Timer(0)]))
     assert [copy.worker for copy in copies] == [3 - sent]
     assert dispatcher.fleet.workers[sent].strikes == 1
 
@@ -63,13 +65,13 @@
 def test_unsafe_job_is_never_copied():
     dispatcher = started(settings(UNSAFE), 1, 2)
     dispatcher.handle(1, [arrival()])
-    assert not of(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
+    assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
 
 def test_no_copy_where_settings_forbid_it():
     dispatcher = started(settings(may_hedge=False), 1, 2)
     dispatcher.handle(1, [arrival()])
-    assert not of(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
+    assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
 
 def time_until_cancelled(dispatcher, request, worker, now, healthy):
@@ -87,7 +89,7 @@
 
 def start_silent_job(healthy):
     dispatcher = started(settings(may_hedge=False), 1, 2)
-    worker = of(io.Send, dispatcher.handle(1, [arrival(1000, hint=50_000)]))[0].worker
+    worker = only(io.Send, dispatcher.handle(1, [arrival(1000, hint=50_000)]))[0].worker
     return dispatcher, worker, time_until_cancelled(dispatcher, 1000, worker, 2, healthy)
 
 
@@ -119,7 +121,7 @@
 def test_keyed_retry_ends_with_window(when, again):
     cell = [io.WorkerEntry(1, cell=4), io.WorkerEntry(2, cell=4)]
     dispatcher = started(settings(KEYED, may_hedge=False), *cell)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
     assert [type(action) for action in actions if not isinstance(action, io.SetTimer)] == again
 
@@ -130,39 +132,39 @@
 def test_queued_attempt_hedged_and_cancelled_on_first_start():
     """Selection without load reports left a third of the jobs queued while workers were free (big-2)."""
     dispatcher = started(settings(WORTHLESS_LATE), 1, 2)
-    first = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
-    copy = of(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
+    first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    copy = only(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
     assert [send.worker for send in copy] == [3 - first]
     begun = dispatcher.handle(31_000, [io.ProgressReport(1, 1, 3 - first)])
-    assert of(io.Cancel, begun) == [io.Cancel(1, 0)]
+    assert only(io.Cancel, begun) == [io.Cancel(1, 0)]
 
 
 @pytest.mark.parametrize("spec", [SAFE, UNSAFE])
 def test_no_hedge_with_late_worth_or_unsafe(spec):
     dispatcher = started(settings(spec), 1, 2)
     dispatcher.handle(1, [arrival()])
-    assert not of(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
+    assert not only(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
 
 
 def test_queued_attempt_cancelled_when_late_and_refused():
     """Under overload every queue was full of jobs whose clients had given up (overload)."""
     dispatcher = started(settings(WORTHLESS_LATE), 1)
     dispatcher.handle(1, [arrival()])
-    assert of(io.Cancel, dispatcher.handle(60_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
-    assert of(io.Refuse, dispatcher.handle(60_100, [outcome(1, 0, 1, R.CANCELLED)])) == [io.Refuse(1)]
+    assert only(io.Cancel, dispatcher.handle(60_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
+    assert only(io.Refuse, dispatcher.handle(60_100, [outcome(1, 0, 1, R.CANCELLED)])) == [io.Refuse(1)]
 
 
 def test_started_attempt_is_not_cancelled():
     dispatcher = started(settings(WORTHLESS_LATE), 1)
     dispatcher.handle(1, [arrival()])
     dispatcher.handle(2_000, [io.ProgressReport(1, 0, 1)])
-    assert not of(io.Cancel, dispatcher.handle(90_000, [io.Timer(0)]))
+    assert not only(io.Cancel, dispatcher.handle(90_000, [io.Timer(0)]))
 
 
 def test_queued_attempt_is_not_silent():
     """Workers with a queue were ejected for up to the cold time, and the others took their load."""
     dispatcher = started(settings(WORTHLESS_LATE, progress=1_000_000), 1, 2)
-    sent = of(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
+    sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     for now in (30_000, 60_000, 200_000, 900_000):
         dispatcher.handle(now, [io.Timer(0)])
     assert dispatcher.fleet.workers[sent].strikes == 0
@@ -172,9 +174,9 @@
 
 def test_silent_attempt_cancelled_and_retried_elsewhere():
     dispatcher = started(settings(may_hedge=False), 1, 2, 3, 4)
-    sent = of(io.Send, dispatcher.handle(1, [arrival(1)]))[0]
-    assert of(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
-    again = of(io.Send, dispatcher.handle(2_000_001, [outcome(1, 0, sent.worker, R.CANCELLED)]))
+    sent = only(io.Send, dispatcher.handle(1, [arrival(1)]))[0]
+    assert only(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
+    again = only(io.Send, dispatcher.handle(2_000_001, [outcome(1, 0, sent.worker, R.CANCELLED)]))
     assert len(again) == 1 and again[0].worker != sent.worker
 
 
@@ -182,7 +184,7 @@
 def test_silent_attempt_kept_without_possible_retry(job_class, workers):
     dispatcher = started(settings(job_class, may_hedge=False), *workers)
     dispatcher.handle(1, [arrival(1)])
-    assert not of(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)]))
+    assert not only(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)]))
 
 
 @pytest.mark.parametrize(
@@ -199,5 +201,5 @@
     retries = 0
     for step in range(served, 400):
         events = [arrival(step, now=step * 50_000)] if step < served + 100 else [io.Timer(0)]
-        retries += len(of(io.Cancel, dispatcher.handle(step * 50_000, events)))
+        retries += len(only(io.Cancel, dispatcher.handle(step * 50_000, events)))
     assert retries == allowed if reports is io.Reports.OFF else retries > 3
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -1,6 +1,6 @@
 """Ejected and cold workers, and those excluded by an operator."""
 
-from helpers import SAFE, UNSAFE, arrival, listing, of, outcome, serve, settings, started
+from helpers import SAFE, UNSAFE, arrival, listing, only, outcome, serve, settings, started
 
 from carthinge import interface as io
 
@@ -18,7 +18,7 @@
         dispatcher.handle(now, [listing(io.WorkerEntry(1, started=now), kind=io.Listing.CHANGES)])
         for step in range(100):  # one window of two seconds
             actions = dispatcher.handle(now + step * 20_000, [arrival(1000 + step, now=now)])
-            sent += sum(1 for s in of(io.Send, actions) if s.worker == 1)
+            sent += sum(1 for s in only(io.Send, actions) if s.worker == 1)
     fair = 22 * 100 / 10
     assert sent < 0.8 * fair  # a cold worker gets a fraction of the fleet's mean load
 
@@ -41,7 +41,7 @@
     dispatcher = started(settings(), 1, 2, 3)
 
     def submit(request, now):
-        return of(io.Send, dispatcher.handle(now, [arrival(request, now=now)]))[0].worker
+        return only(io.Send, dispatcher.handle(now, [arrival(request, now=now)]))[0].worker
 
     def finish(request, now, worker, result):
         dispatcher.handle(
@@ -69,7 +69,7 @@
 def test_errors_everywhere_eject_no_worker():
     dispatcher = started(settings(), 1, 2, 3, 4)
     for request in range(40):
-        sent = of(io.Send, dispatcher.handle(request, [arrival(request)]))
+        sent = only(io.Send, dispatcher.handle(request, [arrival(request)]))
         dispatcher.handle(request, [outcome(request, 0, sent[0].worker, R.ERROR), io.Abandoned(request)])
     assert sum(worker.avoid_until > 40 for worker in dispatcher.fleet.workers.values()) < 4
 
@@ -79,7 +79,7 @@
     dispatcher = started(settings(try_limit=20), *range(1, 11))
     actions = dispatcher.handle(1, [arrival()])
     attempt = 0
-    while sends := of(io.Send, actions):
+    while sends := only(io.Send, actions):
         actions = dispatcher.handle(2, [outcome(1, attempt, sends[0].worker, R.CONNECT_FAILED)])
         attempt += 1
     assert attempt == 10
@@ -118,7 +118,7 @@
         now += 10_000
         ended, running = [run for run in running if run[0] <= now], [run for run in running if run[0] > now]
         events = [outcome(request, 0, 1, R.OK) for _, request in ended]
-        sends = of(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)]))
+        sends = only(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)]))
         running += [(now + 50_000, send.request) for send in sends]
         sent += len(sends)
     assert 0 < sent < 50
@@ -132,7 +132,7 @@
     dispatcher.handle(1, [io.OperatorExclusion(1, True)])
     restarted = listing(io.WorkerEntry(1, started=5), 2, kind=io.Listing.WHOLE)
     for now, event in enumerate([listing(1, kind=io.Listing.CHANGES), restarted], 10):
-        sends = of(io.Send, dispatcher.handle(now, [event, arrival(now, now=now)]))
+        sends = only(io.Send, dispatcher.handle(now, [event, arrival(now, now=now)]))
         assert [send.worker for send in sends] == [2]
     assert dispatcher.fleet.excluded_count(20) == 1
     dispatcher.handle(21, [listing(2, kind=io.Listing.WHOLE)])  # unlisted workers are not counted
@@ -141,7 +141,7 @@
 
 def test_exclusion_applies_to_same_batch():
     dispatcher = started(settings(), 1)
-    assert not of(io.Send, dispatcher.handle(1, [arrival(1, now=1), io.OperatorExclusion(1, True)]))
+    assert not only(io.Send, dispatcher.handle(1, [arrival(1, now=1), io.OperatorExclusion(1, True)]))
 
 
 def test_readmitted_worker_is_cold_with_new_record():
@@ -156,7 +156,7 @@
     sent = [
         send.worker
         for step in range(100)
-        for send in of(
+        for send in only(
             io.Send,
             dispatcher.handle(
                 now + 3 + step * 20_000, [arrival(1000 + step, now=now + 3 + step * 20_000, hint=20_000)]
@@ -182,7 +182,7 @@
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
         dispatcher.handle(2, [io.OperatorExclusion(1, out)])
-    assert not of(io.Send, dispatcher.handle(3, [outcome(1, 0, 1, io.Result.RESET)]))
+    assert not only(io.Send, dispatcher.handle(3, [outcome(1, 0, 1, io.Result.RESET)]))
 
 
 def test_readmitted_worker_loaded_within_slot_capacity():
@@ -190,7 +190,7 @@
     config = settings(may_hedge=False, reports=io.Reports.ANSWERS, report_fields=("free_slots",))
     dispatcher = started(config, 1, 2)
     for step in range(40):
-        sends = of(io.Send, dispatcher.handle(step * 20_000, [arrival(step, now=step * 20_000)]))
+        sends = only(io.Send, dispatcher.handle(step * 20_000, [arrival(step, now=step * 20_000)]))
         dispatcher.handle(
             step * 20_000 + 1, [outcome(step, 0, s.worker, io.Result.OK, report=(3.0,)) for s in sends]
         )
@@ -201,7 +201,7 @@
         now = 1_000_001 + step * 20_000
         ended, running = [run for run in running if run[0] <= now], [run for run in running if run[0] > now]
         events = [outcome(request, 0, 1, io.Result.OK, 50_000, report=(3.0,)) for _, request in ended]
-        sends = of(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)]))
+        sends = only(io.Send, dispatcher.handle(now, [*events, arrival(1000 + step, now=now)]))
         running += [(now + 50_000, send.request) for send in sends]
         sent += len(sends)
     capacity = 3 * config.cold_start_share * config.fall_window / 50_000  # in jobs
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from helpers import SAFE, UNSAFE, arrival, of, outcome, settings, started
+from helpers import SAFE, UNSAFE, arrival, only, outcome, settings, started
 from world import SETTINGS, World, job, serve_next
 
 from carthinge import interface as io
@@ -149,7 +149,7 @@
     assert (
         ring.queues[2] is third and first not in ring.queues
     )  # a dropped queue stays until its job has left
-    sends = of(io.Send, dispatcher.handle(300_000, []))
+    sends = only(io.Send, dispatcher.handle(300_000, []))
     assert [send.request for send in sends] == [1]
     final = dispatcher.handle(300_001, [outcome(1, 0, sends[0].worker, io.Result.RESET)])
-    assert of(io.Fail, final) and not of(io.Send, final)  # its class may not be retried
+    assert only(io.Fail, final) and not only(io.Send, final)  # its class may not be retried
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import SAFE, UNSAFE, arrival, listing, of, outcome, settings, started
+from helpers import SAFE, UNSAFE, arrival, listing, only, outcome, settings, started
 from in_process import accept_next, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
@@ -40,7 +40,7 @@
     dispatcher = started(settings(SAFE, UNSAFE), 1, 2)
     for step in range(60):
         now = step * 400_000
-        sends = of(io.Send, dispatcher.handle(now, [arrival(step, now=now, hint=900_000)]))
+        sends = only(io.Send, dispatcher.handle(now, [arrival(step, now=now, hint=900_000)]))
         for send in sends:
             dispatcher.handle(now + 1, [io.ProgressReport(step, 0, send.worker, begun=True)])
             dispatcher.handle(now + 350_000, [outcome(step, 0, send.worker, io.Result.OK)])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,7 +2,7 @@
 
 import math
 
-from helpers import SAFE, WORTHLESS_LATE, arrival, listing, of, outcome, settings, started
+from helpers import SAFE, WORTHLESS_LATE, arrival, listing, only, outcome, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -36,7 +36,7 @@
     worker, share = dispatcher.fleet.workers[1], settings().cold_start_share
     for step in range(40):
         now = NOW + step * 100_000
-        assert of(io.Send, dispatcher.handle(now, [arrival(step, now=now)])) or step
+        assert only(io.Send, dispatcher.handle(now, [arrival(step, now=now)])) or step
         dispatcher.handle(now, [io.ProgressReport(step, 0, 1, begun=True)])
         warmed_up = min(1.0, (now + 30_000 - NOW) / settings().cold_time)
         ends = now + int(50_000 / (share + (1 - share) * warmed_up))
@@ -48,7 +48,7 @@
     dispatcher = started(settings(), 1, 2)
     dispatcher.handle(NOW, [cold(1)])
     actions = dispatcher.handle(NOW, [arrival(7, now=NOW, hint=60_000)])
-    assert [send.worker for send in of(io.Send, actions)] == [2]
+    assert [send.worker for send in only(io.Send, actions)] == [2]
     context = dispatcher.context
     assert context.slowdown(dispatcher.fleet.workers[1]) > 2 * context.slowdown(dispatcher.fleet.workers[2])
     assert context.slowdown(dispatcher.fleet.workers[1], NOW + settings().cold_time) == 1.0
@@ -62,7 +62,7 @@
     for worker in dispatcher.fleet.pool(-1):
         worker.outstanding_work = 0.0 if worker.id == 300 else 400_000.0
         worker.outstanding_slots = 0.0 if worker.id == 300 else 2.0
-    assert [send.worker for send in of(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW)]))] == [300]
+    assert [send.worker for send in only(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW)]))] == [300]
 
 
 def test_restarted_schedulers_give_cold_fleet_one_slot():
@@ -74,7 +74,7 @@
         dispatcher.handle(NOW, [cold(*sent)])
         for step in range(40):  # one window, more than two hundred jobs for each worker
             now = NOW + step * 50_000
-            for send in of(io.Send, dispatcher.handle(now, [arrival(step, now=now)])):
+            for send in only(io.Send, dispatcher.handle(now, [arrival(step, now=now)])):
                 sent[send.worker] += 1
     slot = config.cold_start_share * config.fall_window / 50_000
     allowed = config.fall_multiple * slot
@@ -116,9 +116,9 @@
     dispatcher.fleet.workers[2].cold_left = 60_000.0  # one job
     burst = [arrival(request, now=NOW + 10) for request in range(40)]
     actions = dispatcher.handle(NOW + 10, burst)
-    assert len(of(io.Refuse, actions)) > 20
+    assert len(only(io.Refuse, actions)) > 20
     assert not any(job.immediate_only and job.waiting for job in dispatcher.jobs.values())
-    assert [send.worker for send in of(io.Send, actions)].count(2) <= 1
+    assert [send.worker for send in only(io.Send, actions)].count(2) <= 1
 
 
 def test_shedding_prefers_cold_worker_with_allowance():
@@ -132,7 +132,7 @@
         dispatcher.context.level.shedding = level_up
         dispatcher.context.level.record_wait(2e4, NOW)  # between the thresholds for falling and rising
         return [
-            send.worker for send in of(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
+            send.worker for send in only(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
         ]
 
     assert sent(True) == [3]
