--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -9,7 +9,7 @@
 from carthinge.interface import Listing
 from carthinge.net.members import Listed, Member
 
-UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 WAIT = 10  # seconds; no expected event in these tests takes nearly as long
 
 
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import faulty, let_pass
-from in_process import UP, accept_next, encode_callback, read_next, readable, run_until, set_workers
+from in_process import UP_REQUEST, accept_next, encode_callback, read_next, readable, run_until, set_workers
 from world import Listener, altered, job, member
 
 
@@ -123,7 +123,7 @@
     """Two requests and the close arrive at once: no client waits for either."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
     client.send(job("a1") + job("a2"))
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -7,7 +7,7 @@
 import pytest
 from faults import faulty, let_pass
 from in_process import (
-    UP,
+    UP_REQUEST,
     accept_next,
     drain_program,
     encode_callback,
@@ -45,7 +45,7 @@
         let_pass(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
         program.loop.turn(idle=False)
         assert not program._finished
-    client.send(UP)
+    client.send(UP_REQUEST)
     assert read_next(client, program)[0].endswith("503 Service Unavailable")
     assert client.ended() and ended(program)
 
@@ -124,7 +124,7 @@
     answer = connection._answer
     connection._answer = lambda status, *more, **named: answer(status, b"x" * 300_000)
     sockets.after("send", lambda sock, data: program._handle_signals(bytes((signal.SIGTERM,))))
-    client.send(UP)
+    client.send(UP_REQUEST)
     run_until(program, lambda: program.frontend.draining is not None)
     assert connection._stream.unsent
     read = b""
@@ -143,7 +143,7 @@
     """The first answer closed the connection, and the pipelined requests read behind it got no answer."""
     program = serve(settings=FIVE_SCHEDULERS)
     set_workers(program, member("s-0", worker.port))
-    client = dial(program).send(job("a1") + job("a2") + UP)
+    client = dial(program).send(job("a1") + job("a2") + UP_REQUEST)
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
@@ -163,7 +163,7 @@
     """It is not read: its client sees the close and sends it again elsewhere, so it must not run here."""
     program = serve(settings=FIVE_SCHEDULERS)
     set_workers(program, member("s-0", worker.port))
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     assert read_next(client, program)[0].endswith("200 OK")
     sockets = faulty(program)
     read = sockets.made["receive"]
@@ -182,7 +182,7 @@
     """A close with unread input resets the connection, which would lose the answer."""
     program = serve(settings=FIVE_SCHEDULERS)
     drain_program(program)
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     sockets = faulty(program)
     sockets.before("shut_down_sending", lambda sock: client.send(b"x" * 100_000))
     run_until(program, lambda: program.frontend.slots.ending)
@@ -202,7 +202,7 @@
         program.frontend._listener._sock
     )  # a late report of the selector
     program.frontend._listener._registered = False
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     let_pass(program, timedelta(seconds=1))
     program.loop.turn(idle=False)
     assert not program._finished
--- a/tests/test_half_sent_requests.py
+++ b/tests/test_half_sent_requests.py
@@ -7,7 +7,7 @@
 import pytest
 from world import SETTINGS, World, job
 
-UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 STOPPED_CLIENT_LIMIT = (
     3.0  # seconds, from the standing test: from the connect or from the request's first byte
 )
@@ -45,7 +45,7 @@
     """Return connections that have had a response."""
     peers = [world.connect() for _ in range(count)]
     for peer in peers:
-        peer.send(UP).read()
+        peer.send(UP_REQUEST).read()
     return peers
 
 
@@ -70,9 +70,9 @@
 
 
 def test_stopped_client_gets_end_within_3_s(world):
-    parts = [b"", WHOLE[:1], HEAD, BODY, UP + HEAD, EXPECTING, CALL_BACK]
+    parts = [b"", WHOLE[:1], HEAD, BODY, UP_REQUEST + HEAD, EXPECTING, CALL_BACK]
     clients = [StoppedClient(world, part) for part in parts]
-    parts = [WHOLE[:1], HEAD, BODY, UP + BODY, CALL_BACK]
+    parts = [WHOLE[:1], HEAD, BODY, UP_REQUEST + BODY, CALL_BACK]
     clients += [StoppedClient(world, part, peer) for part, peer in zip(parts, kept(world, 5), strict=True)]
     assert ended_late(clients) == {}
 
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import FaultySockets, faulty
-from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
+from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge.net.channel import Beat, Channel
@@ -21,7 +21,7 @@
     """Guards against an interrupted send treated as a broken connection, which lost the client's response."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    idle = dial(program).send(UP)
+    idle = dial(program).send(UP_REQUEST)
     assert read_next(idle, program)[0].endswith("200 OK")
     sockets = faulty(program)
     sockets.fail(call, error)
@@ -34,7 +34,7 @@
     sockets.fail(call, error)
     dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
-    idle.send(UP)
+    idle.send(UP_REQUEST)
     assert read_next(idle, program)[0].endswith("200 OK")
     counters = program.counters
     assert (counters.attempts, counters.served, counters.client_gone) == (1, 1, 0)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 
 import pytest
 from faults import faulty
-from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
+from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
 from carthinge import interface as io
@@ -87,7 +87,7 @@
     dial(program).send(job("a1"))
     peer = accept_next(worker, program)
     read_next(peer, program)
-    idle = dial(program).send(UP)
+    idle = dial(program).send(UP_REQUEST)
     read_next(idle, program)
     for connection in program.frontend.slots.all():
         connection.close(CloseReason.SLOT_NEEDED)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -4,7 +4,15 @@
 
 import pytest
 from faults import FaultySockets, let_pass
-from in_process import UP, accept_next, drain_program, encode_callback, read_next, run_until, set_workers
+from in_process import (
+    UP_REQUEST,
+    accept_next,
+    drain_program,
+    encode_callback,
+    read_next,
+    run_until,
+    set_workers,
+)
 from world import SETTINGS, job, member
 
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
@@ -22,13 +30,13 @@
 
 def test_silent_client_is_closed_slow_writer_served(serve, dial):
     program = serve()
-    silent, slow = dial(program), dial(program).send(UP[:4])
+    silent, slow = dial(program), dial(program).send(UP_REQUEST[:4])
     run_until(program, lambda: len(program.frontend.slots.fresh) == 2)
     for _ in range(3):
         program.loop.turn(idle=False)
-    for at in range(4, len(UP)):  # for longer than a stopped request may take
+    for at in range(4, len(UP_REQUEST)):  # for longer than a stopped request may take
         let_pass(program, timedelta(milliseconds=200))
-        slow.send(UP[at : at + 1])
+        slow.send(UP_REQUEST[at : at + 1])
         one_read(program)
     assert silent.ended() and program.counters.connections_in_silent == 1
     assert read_next(slow, program)[0].endswith("200 OK") and program.counters.bad_input == 0
@@ -36,15 +44,15 @@
 
 def test_slow_writer_may_pause_between_parts(serve, dial):
     program = serve()
-    slow = dial(program).send(UP[:4])
+    slow = dial(program).send(UP_REQUEST[:4])
     run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
     for at, pause in ((4, READ_TIMEOUT), (8, MAX_PART_INTERVAL), (12, MAX_PART_INTERVAL)):
         let_pass(program, pause - timedelta(milliseconds=300))
         program.loop.turn(idle=False)
-        slow.send(UP[at : at + 4])
+        slow.send(UP_REQUEST[at : at + 4])
         one_read(program)
-    slow.send(UP[16:])
+    slow.send(UP_REQUEST[16:])
     assert read_next(slow, program)[0].endswith("200 OK")
 
 
@@ -53,9 +61,9 @@
     program = serve()
     client = dial(program)
     if asked:
-        client.send(UP)
+        client.send(UP_REQUEST)
         assert read_next(client, program)[0].endswith("200 OK")
-    client.send(UP[:4])
+    client.send(UP_REQUEST[:4])
     run_until(
         program,
         lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
@@ -83,17 +91,17 @@
 def test_each_pipelined_request_has_own_timeout(serve, dial):
     """A client is not slow as long as each of its pipelined requests is complete in time."""
     program = serve()
-    client = dial(program).send(UP[:9])
+    client = dial(program).send(UP_REQUEST[:9])
     for _ in range(40):
         let_pass(program, timedelta(milliseconds=400))
-        client.send(UP[9:] + UP[:9])
+        client.send(UP_REQUEST[9:] + UP_REQUEST[:9])
         assert read_next(client, program)[0].endswith("200 OK")
     assert program.counters.bad_input == 0
 
 
 def test_partial_request_is_evicted_last(serve, dial):
     program = serve(sockets=64)
-    partial = [dial(program).send(UP[:4]) for _ in range(4)]
+    partial = [dial(program).send(UP_REQUEST[:4]) for _ in range(4)]
     run_until(program, lambda: len(program.frontend.slots.fresh) == 4)
     for _ in range(3):
         program.loop.turn(idle=False)
@@ -103,13 +111,13 @@
     run_until(program, lambda: program.counters.connections_in_closed_early == 4)
     assert all(peer.ended() for peer in silent[:4])
     for client in partial:
-        client.send(UP[4:])
+        client.send(UP_REQUEST[4:])
         assert read_next(client, program)[0].endswith("200 OK")
 
 
 def test_too_slow_reader_is_closed_in_drain(serve, dial):
     program = serve(settings=MANY)
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     drain_program(program)
     run_until(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
     let_pass(program, LINGER_TIMEOUT)
@@ -120,7 +128,7 @@
 def test_nothing_sent_after_last_response(serve, dial):
     """Guards against the timer of a partial request writing a 408 after the connection's last response."""
     program = serve()
-    client = dial(program).send(UP[:9])
+    client = dial(program).send(UP_REQUEST[:9])
     run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
     let_pass(program, READ_TIMEOUT - timedelta(milliseconds=500))
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
-from in_process import UP, accept_next, encode_callback, read_next, run_until, set_workers
+from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
 from carthinge.net.channel import Channel, Incoming
@@ -37,7 +37,7 @@
     program = serve()
     sockets = faulty(program)
     sockets.fail("accept", *[error] * 3)
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     with clock_stopped(program):
         run_until(program, lambda: sockets.made["accept"])
         for _ in range(20):
@@ -55,7 +55,7 @@
     program = serve()
     sockets = faulty(program)
     sockets.fail("accept", errno.ECONNABORTED, errno.EPROTO)
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200 and program.counters.accept_pauses == 0
 
@@ -170,7 +170,7 @@
     program = serve()
     sockets = faulty(program)
     sockets.fail("send", error, error)
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     with clock_stopped(program):
         run_until(program, lambda: sockets.made["send"])
         for _ in range(20):
@@ -197,7 +197,7 @@
     monkeypatch.setattr(socket.socket, "close", fails)
     run_until(program, lambda: failed)
     monkeypatch.undo()
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
@@ -217,7 +217,7 @@
     first = dial(program)
     run_until(program, lambda: not failing)
     assert first.ended()
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
@@ -301,7 +301,7 @@
     other = worker.accept()
     program.upgrade._received(Incoming(fresh=True), sock)
     assert other.ended() and not failing
-    client = dial(program).send(UP)
+    client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200
 
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -4,7 +4,7 @@
 import time
 from datetime import timedelta
 
-from in_process import UP, run_until
+from in_process import UP_REQUEST, run_until
 from world import job
 
 from carthinge.net.deadlines import ANSWER_MARGIN
@@ -27,7 +27,7 @@
     """Fill all slots with connections that have had a response."""
     peers = []
     while len(program.frontend.slots) < program.frontend.slots.max_connections:
-        peers.append(dial(program).send(UP))
+        peers.append(dial(program).send(UP_REQUEST))
         run_until(program, lambda: len(program.frontend.slots.kept) == len(peers))
     for peer in peers:
         assert peer.status() == 200
@@ -42,13 +42,13 @@
     listener_first(program, monkeypatch)
     late = dial(program)  # needs a slot in the same turn
     for peer in peers:
-        peer.send(UP)
+        peer.send(UP_REQUEST)
     run_until(program, lambda: program.counters.accept_pauses > 0)
     assert program.counters.connections_in_closed_early == 0
     for peer in peers:
         assert peer.status() == 200
     run_until(program, lambda: program.counters.connections_in > len(peers))  # then one of them is evicted
-    late.send(UP)
+    late.send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.fresh == {})
     assert late.status() == 200 and program.counters.connections_in_closed_early == 1
 
@@ -57,7 +57,7 @@
     program = serve()
     peer = dial(program)
     run_until(program, lambda: len(program.frontend.slots) == 1)
-    peer.send(UP)  # still unread at the next check for overdue connections
+    peer.send(UP_REQUEST)  # still unread at the next check for overdue connections
     monkeypatch.setattr(type(program.loop.clock), "HISTORY", program.loop.clock.HISTORY * 2)
     program.loop.now = program.loop.clock.now()
     program.frontend._check_fresh()
@@ -145,7 +145,7 @@
         came = program.loop.turns
         run_until(program, lambda came=came: program.loop.turns == came + 1)
         time.sleep(0.02)
-        sock.send(UP)
+        sock.send(UP_REQUEST)
     listener = program.frontend._listener
     dial(program)
     run_until(program, lambda: program.loop.turns == came + 2)
