--- a/tests/faults.py
+++ b/tests/faults.py
@@ -74,7 +74,7 @@
     return program.loop.sockets
 
 
-def let_pass(program, duration):
+def advance_clock(program, duration):
     """Advance the program's clock, and no other."""
     program.loop.clock.HISTORY += duration
 
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -4,7 +4,7 @@
 import signal
 import time
 
-from faults import let_pass
+from faults import advance_clock
 
 from carthinge.interface import Listing
 from carthinge.net.members import Listed, Member
@@ -54,5 +54,5 @@
     """Stop the program by SIGTERM, and advance its clock until it no longer keeps connections alive."""
     program._handle_signals(bytes((signal.SIGTERM,)))
     program.loop.turn(idle=False)
-    let_pass(program, program.frontend.draining.keep_alive_until - program.loop.clock.now())
+    advance_clock(program, program.frontend.draining.keep_alive_until - program.loop.clock.now())
     program.loop.turn(idle=False)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import faulty, let_pass
+from faults import advance_clock, faulty
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, readable, run_until, set_workers
 from world import Listener, altered, job, member
 
@@ -148,7 +148,7 @@
     program = serve()
     set_workers(program, member("s-0", worker.port))
     sockets = faulty(program)
-    sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=200)))
+    sockets.before("connect_error", lambda sock: advance_clock(program, timedelta(milliseconds=200)))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
     due = program.tracker.by_id["a1"].give_up
@@ -168,10 +168,10 @@
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
     first = time_left(read_next(peer, program))
-    let_pass(program, timedelta(milliseconds=700))
+    advance_clock(program, timedelta(milliseconds=700))
     peer.answer(503, Srv_Declined=1)
     run_until(program, lambda: program.counters.attempt_full)
-    let_pass(program, timedelta(milliseconds=300))  # the worker is avoided for a moment
+    advance_clock(program, timedelta(milliseconds=300))  # the worker is avoided for a moment
     retried = time_left(read_next(peer, program))
     assert retried <= first - timedelta(milliseconds=1000)
     client.close()
@@ -191,8 +191,8 @@
     client = dial(program).send(job("a1", kind="reindex", deadline="9000m", Idempotency_Key="k"))
     peer = accept_next(worker, program)
     read_next(peer, program)
-    sockets.before("connect_error", lambda sock: let_pass(program, timedelta(milliseconds=700)))
-    let_pass(program, timedelta(milliseconds=400))
+    sockets.before("connect_error", lambda sock: advance_clock(program, timedelta(milliseconds=700)))
+    advance_clock(program, timedelta(milliseconds=400))
     peer.close()  # it may have run
     run_until(program, lambda: program.counters.attempt_reset)
     run_until(program, lambda: program.counters.failed or program.counters.shed)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import faulty, let_pass
+from faults import advance_clock, faulty
 from in_process import (
     UP_REQUEST,
     accept_next,
@@ -28,7 +28,7 @@
         program.tracker.decide()
         if program._finished:
             return True
-        let_pass(program, timedelta(milliseconds=25))
+        advance_clock(program, timedelta(milliseconds=25))
     return False
 
 
@@ -42,7 +42,7 @@
     client = dial(program)
     run_until(program, lambda: program.frontend.slots.fresh)
     for _ in range(5):
-        let_pass(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
+        advance_clock(program, timedelta(milliseconds=40))  # in all, less than a client may need to connect
         program.loop.turn(idle=False)
         assert not program._finished
     client.send(UP_REQUEST)
@@ -133,7 +133,7 @@
         chunk = client.sock.recv(4096)
         assert chunk, f"cut off after {len(read)} bytes"
         read += chunk
-        let_pass(program, timedelta(milliseconds=50))  # four seconds in all, past the end of the drain
+        advance_clock(program, timedelta(milliseconds=50))  # four seconds in all, past the end of the drain
     assert not program._finished
     client.close()
     assert ended(program)
@@ -197,13 +197,13 @@
     drain_program(program)
     while program._quiet_since is None:
         program.loop.turn(idle=False)
-        let_pass(program, timedelta(milliseconds=10))
+        advance_clock(program, timedelta(milliseconds=10))
     program.frontend._listener._loop.unregister(
         program.frontend._listener._sock
     )  # a late report of the selector
     program.frontend._listener._registered = False
     client = dial(program).send(UP_REQUEST)
-    let_pass(program, timedelta(seconds=1))
+    advance_clock(program, timedelta(seconds=1))
     program.loop.turn(idle=False)
     assert not program._finished
     program.frontend._listener._update()
@@ -220,7 +220,7 @@
     peer.answer(202)
     program._handle_signals(bytes((signal.SIGHUP, signal.SIGTERM)))
     drain = program.frontend.draining
-    let_pass(program, timedelta(milliseconds=300))
+    advance_clock(program, timedelta(milliseconds=300))
     program.loop.turn(idle=False)
     program._handle_signals(bytes((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
     assert program.frontend.draining is drain and not program._finished
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,7 @@
 import resource
 
 import pytest
-from faults import let_pass
+from faults import advance_clock
 from in_process import accept_next, encode_callback, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
@@ -26,12 +26,12 @@
     program = serve(sockets=TIGHT)
     set_workers(program, member("s-0", worker.port))
     filled(program, dial, partial)
-    let_pass(program, program.config.site.connect_timeout)
+    advance_clock(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    let_pass(program, program.config.site.connect_timeout)
+    advance_clock(program, program.config.site.connect_timeout)
     caller = dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(caller, program)[0].split()[1] == "204"
     assert read_next(client, program)[2] == b"r"
@@ -53,9 +53,9 @@
 def test_silent_clients_are_all_closed(serve, dial):
     program = serve(sockets=TIGHT)
     clients = filled(program, dial)
-    let_pass(program, READ_TIMEOUT * 2)
+    advance_clock(program, READ_TIMEOUT * 2)
     run_until(program, lambda: program.counters.connections_in == len(clients))
-    let_pass(program, READ_TIMEOUT * 2)
+    advance_clock(program, READ_TIMEOUT * 2)
     run_until(program, lambda: len(program.frontend.slots) == 0)
 
 
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import faulty, let_pass
+from faults import advance_clock, faulty
 from helpers import listing, only, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
@@ -47,7 +47,7 @@
     """Advance the clock in small steps with a turn of the loop after each."""
     until = program.loop.clock.now() + duration
     while program.loop.clock.now() < until:
-        let_pass(program, timedelta(milliseconds=50))
+        advance_clock(program, timedelta(milliseconds=50))
         program.loop.turn(idle=False)
         program.tracker.decide()
 
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -7,7 +7,7 @@
 
 import pytest
 from durable_world import FILE, get, put, take_job
-from faults import let_pass
+from faults import advance_clock
 from in_process import read_next, readable, run_until
 from store_shorthands import accepted
 from world import World, job
@@ -59,7 +59,7 @@
         program.loop.turn(idle=False)
         program.tracker.decide()
         longest = max(longest, timedelta(seconds=time.monotonic() - began))
-        let_pass(program, timedelta(milliseconds=5))
+        advance_clock(program, timedelta(milliseconds=5))
         assert program.loop.clock.now() < until + SEND_TIMEOUT
     assert ended == [False] and longest < SEND_TIMEOUT / 2
     assert len([thread for thread in threading.enumerate() if thread.name == "store"]) == 1
@@ -138,11 +138,11 @@
     ended = []
     StoreHandover(program.durable, lambda attempt: False, ended.append)
     for _ in range(20):
-        let_pass(program, SEND_TIMEOUT)
+        advance_clock(program, SEND_TIMEOUT)
         program.loop.turn(idle=False)
     assert not ended and program.durable.writer is not None
     program.durable.read_back.loaded = True
-    let_pass(program, SEND_TIMEOUT)
+    advance_clock(program, SEND_TIMEOUT)
     run_until(program, lambda: ended)
     assert ended == [True] and program.durable.writer is None
 
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import let_pass
+from faults import advance_clock
 from in_process import accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
@@ -30,10 +30,10 @@
     read_next(peer, program)
     peer.answer(202)
     run_until(program, lambda: not program.worker_client._calls)
-    let_pass(program, SHORT_DEADLINE - timedelta(milliseconds=50))
+    advance_clock(program, SHORT_DEADLINE - timedelta(milliseconds=50))
     program.loop.turn(idle=False)
     assert program.counters.failed == 0, "it was cut short before it had to be"
-    let_pass(program, timedelta(milliseconds=50) + LATE_LIMIT - timedelta(milliseconds=150))
+    advance_clock(program, timedelta(milliseconds=50) + LATE_LIMIT - timedelta(milliseconds=150))
     assert statuses(client, program, 2) == [504, 503]
     assert program.counters.invariants_violated == 0
     dial(program).send(encode_callback("s-0", "a1", result="late"))
@@ -60,7 +60,7 @@
         assert read_next(peer, program)[1]["req-id"] == name
         peer.answer(202)
         run_until(program, lambda: not program.worker_client._calls)
-        let_pass(program, timedelta(seconds=1))
+        advance_clock(program, timedelta(seconds=1))
         dial(program).send(encode_callback("s-0", name, result=name))
         assert read_next(client, program)[2] == name.encode()
 
@@ -73,7 +73,7 @@
     peer = accept_next(worker, program)
     read_next(peer, program)
     peer.answer(202)
-    let_pass(program, timedelta(seconds=1))
+    advance_clock(program, timedelta(seconds=1))
     dial(program).send(encode_callback("s-0", "a1", result="r"))
     assert read_next(client, program)[2] == b"r"
     assert statuses(client, program, 2) == [200, 400]
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import FaultySockets, let_pass
+from faults import FaultySockets, advance_clock
 from in_process import (
     UP_REQUEST,
     accept_next,
@@ -35,7 +35,7 @@
     for _ in range(3):
         program.loop.turn(idle=False)
     for at in range(4, len(UP_REQUEST)):  # for longer than a stopped request may take
-        let_pass(program, timedelta(milliseconds=200))
+        advance_clock(program, timedelta(milliseconds=200))
         slow.send(UP_REQUEST[at : at + 1])
         one_read(program)
     assert silent.ended() and program.counters.connections_in_silent == 1
@@ -48,7 +48,7 @@
     run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
     for at, pause in ((4, READ_TIMEOUT), (8, MAX_PART_INTERVAL), (12, MAX_PART_INTERVAL)):
-        let_pass(program, pause - timedelta(milliseconds=300))
+        advance_clock(program, pause - timedelta(milliseconds=300))
         program.loop.turn(idle=False)
         slow.send(UP_REQUEST[at : at + 4])
         one_read(program)
@@ -68,7 +68,7 @@
         program,
         lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
     )
-    let_pass(
+    advance_clock(
         program, STOPPED_CLIENT_LIMIT - timedelta(milliseconds=150)
     )  # margin for delays of the scheduler
     program.loop.turn(idle=False)
@@ -83,7 +83,7 @@
     while not program.counters.bad_input and passed <= MAX_REQUEST_DURATION:
         client.send(b"x")
         one_read(program)
-        let_pass(program, step := timedelta(milliseconds=200))
+        advance_clock(program, step := timedelta(milliseconds=200))
         passed += step
     assert program.counters.bad_input and read_next(client, program)[0].endswith("408 Request Timeout")
 
@@ -93,7 +93,7 @@
     program = serve()
     client = dial(program).send(UP_REQUEST[:9])
     for _ in range(40):
-        let_pass(program, timedelta(milliseconds=400))
+        advance_clock(program, timedelta(milliseconds=400))
         client.send(UP_REQUEST[9:] + UP_REQUEST[:9])
         assert read_next(client, program)[0].endswith("200 OK")
     assert program.counters.bad_input == 0
@@ -107,7 +107,7 @@
         program.loop.turn(idle=False)
     silent = [dial(program) for _ in range(program.frontend.slots.max_connections)]
     run_until(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
-    let_pass(program, timedelta(seconds=1))
+    advance_clock(program, timedelta(seconds=1))
     run_until(program, lambda: program.counters.connections_in_closed_early == 4)
     assert all(peer.ended() for peer in silent[:4])
     for client in partial:
@@ -120,7 +120,7 @@
     client = dial(program).send(UP_REQUEST)
     drain_program(program)
     run_until(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
-    let_pass(program, LINGER_TIMEOUT)
+    advance_clock(program, LINGER_TIMEOUT)
     run_until(program, lambda: len(program.frontend.slots) == 0)
     assert client.status() == 503
 
@@ -131,10 +131,10 @@
     client = dial(program).send(UP_REQUEST[:9])
     run_until(program, lambda: program.frontend.slots.fresh)
     one_read(program)
-    let_pass(program, READ_TIMEOUT - timedelta(milliseconds=500))
+    advance_clock(program, READ_TIMEOUT - timedelta(milliseconds=500))
     client.send(b"\x00\x01 not HTTP\r\n\r\n")
     assert read_next(client, program)[0].endswith("400 Bad Request")
-    let_pass(program, timedelta(seconds=1))
+    advance_clock(program, timedelta(seconds=1))
     program.loop.turn(idle=False)
     assert program.counters.bad_input == 1
     assert all(connection.silent() for connection in program.frontend.slots.ending)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import BROKEN, LOCAL, FaultySockets, clock_stopped, faulty, let_pass
+from faults import BROKEN, LOCAL, FaultySockets, advance_clock, clock_stopped, faulty
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
@@ -44,7 +44,7 @@
             program.loop.turn(idle=False)
         assert sockets.made["accept"] == 1, "accept was retried within the pause"
     for _ in range(3):
-        let_pass(program, ACCEPT_PAUSE)
+        advance_clock(program, ACCEPT_PAUSE)
         program.loop.turn(idle=False)
     run_until(program, lambda: program.frontend.slots.kept)
     assert client.status() == 200 and sockets.left("accept") == 0
@@ -86,7 +86,7 @@
             program.loop.turn(idle=False)
         assert sockets.made["connect"] == 1, "it was retried at once"
     for _ in range(5):
-        let_pass(program, timedelta(milliseconds=20))
+        advance_clock(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
     read_next(accept_next(worker, program), program)
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
@@ -103,7 +103,7 @@
     for _ in range(30):
         program.loop.turn(idle=False)
         program.tracker.decide()
-        let_pass(program, timedelta(milliseconds=100))
+        advance_clock(program, timedelta(milliseconds=100))
     assert read_next(client, program)[0].startswith("HTTP/1.1 50")  # exactly one response, in time
     (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
     assert only.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
@@ -119,7 +119,7 @@
     program.watch.set_address(Address("127.0.0.1", worker.port))
     assert sockets.made["connect"] == 1
     for _ in range(2):
-        let_pass(program, timedelta(milliseconds=20))
+        advance_clock(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
     assert read_next(accept_next(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
 
@@ -280,7 +280,7 @@
                 program.loop.turn(idle=False)
             assert sockets.made["accept"] == 1, "accept was retried within the pause"
         for _ in range(2):
-            let_pass(program, ACCEPT_PAUSE)
+            advance_clock(program, ACCEPT_PAUSE)
             program.loop.turn(idle=False)
         run_until(program, lambda: program.upgrade.has_peer)
 
@@ -340,7 +340,7 @@
         until = time.monotonic() + 10
         while not program.fleet.counts["sent"]:
             assert time.monotonic() < until
-            let_pass(program, timedelta(milliseconds=50))
+            advance_clock(program, timedelta(milliseconds=50))
             program.loop.turn(idle=False)
             program.tracker.decide()
         program.fleet.close(leave=False)
