--- a/tests/faults.py
+++ b/tests/faults.py
@@ -80,7 +80,7 @@
 
 
 @contextlib.contextmanager
-def clock_stopped(program):
+def stopped_clock(program):
     """Stop the program's clock meanwhile, however busy the machine is."""
     clock = program.loop.clock
     stopped = clock.now()
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import BROKEN, LOCAL, FaultySockets, advance_clock, clock_stopped, faulty
+from faults import BROKEN, LOCAL, FaultySockets, advance_clock, faulty, stopped_clock
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
@@ -38,7 +38,7 @@
     sockets = faulty(program)
     sockets.fail("accept", *[error] * 3)
     client = dial(program).send(UP_REQUEST)
-    with clock_stopped(program):
+    with stopped_clock(program):
         run_until(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
@@ -65,7 +65,7 @@
     sockets = faulty(program)
     sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
     dial(program)
-    with clock_stopped(program):
+    with stopped_clock(program):
         run_until(program, lambda: sockets.made["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
@@ -80,7 +80,7 @@
     sockets = faulty(program)
     sockets.fail("connect", *[error] * 5)
     client = dial(program).send(job("a1"))
-    with clock_stopped(program):
+    with stopped_clock(program):
         run_until(program, lambda: sockets.made["connect"])
         for _ in range(20):
             program.loop.turn(idle=False)
@@ -171,7 +171,7 @@
     sockets = faulty(program)
     sockets.fail("send", error, error)
     client = dial(program).send(UP_REQUEST)
-    with clock_stopped(program):
+    with stopped_clock(program):
         run_until(program, lambda: sockets.made["send"])
         for _ in range(20):
             program.loop.turn(idle=False)
@@ -274,7 +274,7 @@
     sockets.fail("accept", error, error)
     with socket.socket(socket.AF_UNIX) as other:
         other.connect(str(program.upgrade._path))
-        with clock_stopped(program):
+        with stopped_clock(program):
             run_until(program, lambda: sockets.made["accept"])
             for _ in range(20):
                 program.loop.turn(idle=False)
