--- a/tests/faults.py
+++ b/tests/faults.py
@@ -68,7 +68,7 @@
     setattr(FaultySockets, _call, _wrapped(_call))
 
 
-def faulty(program):
+def inject_faults(program):
     """Replace the socket calls of a program in the test process by faulty ones; return them."""
     program.loop.sockets = FaultySockets()
     return program.loop.sockets
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import advance_clock, faulty
+from faults import advance_clock, inject_faults
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, readable, run_until, set_workers
 from world import Listener, altered, job, member
 
@@ -46,7 +46,7 @@
     """Where settings allow no withdrawals, the attempt was sent as soon as its connection was up."""
     program = serve(settings=altered(cancel=cancel))
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect_error", lambda sock: client.close())
     run_until(program, lambda: program.counters.client_gone and not program.tracker.events)
@@ -147,7 +147,7 @@
     """The time left was computed when the connect began, 0.2 s before the connection came up."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.before("connect_error", lambda sock: advance_clock(program, timedelta(milliseconds=200)))
     client = dial(program).send(job("a1", deadline="3000m"))
     peer = accept_next(worker, program)
@@ -187,7 +187,7 @@
     set_workers(program, member("s-0", worker.port), member("s-1", worker.port))
     program.watch.stop()
     program.tracker.watch = lambda: None  # the slow connect must not be that of discovery
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program).send(job("a1", kind="reindex", deadline="9000m", Idempotency_Key="k"))
     peer = accept_next(worker, program)
     read_next(peer, program)
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import advance_clock, faulty
+from faults import advance_clock, inject_faults
 from in_process import (
     UP_REQUEST,
     accept_next,
@@ -102,7 +102,7 @@
 def test_sigterm_between_decision_and_connect(serve, dial, worker):
     program = serve(settings=FIVE_SCHEDULERS)
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program).send(job("a1"))
     sockets.before("connect", lambda host, port: program._handle_signals(bytes((signal.SIGTERM,))))
     peer = accept_next(worker, program)
@@ -115,7 +115,7 @@
 def test_sigterm_between_answer_and_flush(serve, dial):
     """The answer does not fit the socket buffers; it is sent completely before the program ends."""
     program = serve(settings=FIVE_SCHEDULERS)
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program)
     run_until(program, lambda: program.frontend.slots.fresh)
     (connection,) = program.frontend.slots.all()
@@ -165,7 +165,7 @@
     set_workers(program, member("s-0", worker.port))
     client = dial(program).send(UP_REQUEST)
     assert read_next(client, program)[0].endswith("200 OK")
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     read = sockets.made["receive"]
     sockets.before("close", lambda sock: client.send(job("a1")))
     drain_program(program)
@@ -183,7 +183,7 @@
     program = serve(settings=FIVE_SCHEDULERS)
     drain_program(program)
     client = dial(program).send(UP_REQUEST)
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.before("shut_down_sending", lambda sock: client.send(b"x" * 100_000))
     run_until(program, lambda: program.frontend.slots.ending)
     for _ in range(10):
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import advance_clock, faulty
+from faults import advance_clock, inject_faults
 from helpers import listing, only, settings, started
 from hypothesis import given
 from hypothesis import strategies as st
@@ -146,7 +146,9 @@
 def test_move_after_failure_keeps_new_call(serve, discovery):
     """Guards against the failure of the old call, reported a turn later, ending the new one."""
     program = serve()
-    faulty(program).fail("connect", errno.ECONNREFUSED)  # fails in the call itself, not by a selector event
+    inject_faults(program).fail(
+        "connect", errno.ECONNREFUSED
+    )  # fails in the call itself, not by a selector event
     program.watch.set_address(Address("127.0.0.1", 1))
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     call = program.watch._connection.call
@@ -189,7 +191,7 @@
     body = json.dumps(
         {"revision": 10, "complete": False, "members": [member("s-0", worker.port, phase="Terminating")]}
     ).encode()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.before("connect", lambda host, port: peer.answer(200, body))
     select, watched = program.loop._selector.select, program.watch._connection._stream._sock
     monkeypatch.setattr(
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -144,19 +144,19 @@
 LEVELS = st.lists(st.integers(0, 100), min_size=2, max_size=30)
 
 
-@given(correct=LEVELS, faulty=st.integers(0, 100))
+@given(correct=LEVELS, inject_faults=st.integers(0, 100))
 @STEADY
-def test_faulty_vote_moves_median_one_step(correct, faulty):
+def test_faulty_vote_moves_median_one_step(correct, inject_faults):
     """The median stays between the two correct votes around the middle, so never beyond all of them."""
     ordered, middle = sorted(correct), len(correct) // 2
-    level = agreed(correct[0], [*correct[1:], faulty])
+    level = agreed(correct[0], [*correct[1:], inject_faults])
     assert ordered[max(0, middle - 1)] <= level <= ordered[middle]
 
 
-@given(correct=LEVELS, faulty=st.integers(0, 100), data=st.data())
+@given(correct=LEVELS, inject_faults=st.integers(0, 100), data=st.data())
 @STEADY
-def test_same_votes_give_same_level(correct, faulty, data):
-    votes = [*correct, faulty]
+def test_same_votes_give_same_level(correct, inject_faults, data):
+    votes = [*correct, inject_faults]
     at = data.draw(st.integers(0, len(correct) - 1))
     assert agreed(votes[at], votes[:at] + votes[at + 1 :]) == agreed(votes[0], votes[1:])
 
@@ -233,12 +233,12 @@
     return decided
 
 
-@given(faulty=st.dictionaries(st.integers(0, 50), st.just(NOW), max_size=12))
+@given(inject_faults=st.dictionaries(st.integers(0, 50), st.just(NOW), max_size=12))
 @STEADY
-def test_single_suspicion_ejects_no_worker(faulty):
+def test_single_suspicion_ejects_no_worker(inject_faults):
     assert all(
         not decision.avoid_until and not decision.suspected_count
-        for decision in decisions({"m0": faulty}).values()
+        for decision in decisions({"m0": inject_faults}).values()
     )
 
 
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -163,14 +163,21 @@
 def test_suspected_member_refutes():
     """A faulty member keeps sending that n2 is suspected, with its current incarnation."""
     net = fleet(5)
-    faulty = net.nodes["n4"]
+    inject_faults = net.nodes["n4"]
     for _ in range(30):
         net.run(PERIOD)
         rumors = [Rumor("n2", MemberState.SUSPECT, net.nodes["n2"].gossip.incarnation)]
         for name in ("n0", "n1", "n3"):
             net.send(
                 "n4",
-                [(name, Packet(PacketKind.GOSSIP, "n4", "n4", faulty.gossip.incarnation, rumors=rumors))],
+                [
+                    (
+                        name,
+                        Packet(
+                            PacketKind.GOSSIP, "n4", "n4", inject_faults.gossip.incarnation, rumors=rumors
+                        ),
+                    )
+                ],
             )
     net.run(10 * PERIOD)
     assert dead_pairs(net) == set() and agreed(net)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -111,7 +111,7 @@
 
 def test_faulty_member_has_one_vote(net):
     """It sends wrong levels, pressure and suspicions, invalid or old summaries and unrequested grants."""
-    faulty = net.nodes.pop("n4")
+    inject_faults = net.nodes.pop("n4")
     for name in net.nodes:
         net.schedulers[name].facts.update(levels={5: 2}, pressure=1.0, fill_levels={1: 0.0})
     for step in range(1, 40):
@@ -126,12 +126,18 @@
         )
         for name in net.nodes:
             for packet in (
-                Packet(PacketKind.GOSSIP, "n4", "n4", faulty.membership.gossip.incarnation, summary=summary),
+                Packet(
+                    PacketKind.GOSSIP,
+                    "n4",
+                    "n4",
+                    inject_faults.membership.gossip.incarnation,
+                    summary=summary,
+                ),
                 Packet(
                     PacketKind.GRANT,
                     "n4",
                     "n4",
-                    faulty.membership.gossip.incarnation,
+                    inject_faults.membership.gossip.incarnation,
                     number=step,
                     budget_id=1,
                     units=1 << 20,
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from faults import FaultySockets, faulty
+from faults import FaultySockets, inject_faults
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
@@ -23,7 +23,7 @@
     set_workers(program, member("s-0", worker.port))
     idle = dial(program).send(UP_REQUEST)
     assert read_next(idle, program)[0].endswith("200 OK")
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail(call, error)
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import faulty
+from faults import inject_faults
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
@@ -104,7 +104,7 @@
 def test_no_violation_on_failed_connects_and_resets(serve, dial, worker):
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("connect", errno.EMFILE, errno.ECONNREFUSED)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import BROKEN, LOCAL, FaultySockets, advance_clock, faulty, stopped_clock
+from faults import BROKEN, LOCAL, FaultySockets, advance_clock, inject_faults, stopped_clock
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
@@ -35,7 +35,7 @@
 def test_failed_accept_pauses_listener(serve, dial, error):
     """A listener stays ready while accept fails: without a pause the loop would spin."""
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("accept", *[error] * 3)
     client = dial(program).send(UP_REQUEST)
     with stopped_clock(program):
@@ -53,7 +53,7 @@
 
 def test_aborted_connection_delays_no_accept(serve, dial):
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("accept", errno.ECONNABORTED, errno.EPROTO)
     client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
@@ -62,7 +62,7 @@
 
 def test_endless_aborted_accepts_do_not_spin(serve, dial):
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
     dial(program)
     with stopped_clock(program):
@@ -77,7 +77,7 @@
     """Guards against failed connects that each use up an attempt and count as a strike against a worker."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("connect", *[error] * 5)
     client = dial(program).send(job("a1"))
     with stopped_clock(program):
@@ -97,7 +97,7 @@
 def test_lasting_shortage_ends_attempt_without_strike(serve, dial, worker):
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("connect", *[errno.EMFILE] * 10_000)
     client = dial(program).send(job("a1", deadline="2000m"))
     for _ in range(30):
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
 def test_discovery_is_retried_after_shortage(serve, worker, error):
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("connect", error, error)
     from carthinge.net.http import Address
 
@@ -129,7 +129,7 @@
     """Whatever the error: the job may have run, and jobs of such a class are not sent again."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
     read_next(peer, program)
@@ -144,7 +144,7 @@
 def test_break_before_last_byte_is_not_a_run(serve, dial, worker, error):
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.after("connect_error", lambda sock: sockets.fail("send", error))
     client = dial(program).send(job("a1", kind="charge"))
     run_until(program, lambda: program.counters.attempt_connect_failed)
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
 def test_broken_client_connection_counts_as_gone(serve, dial, error):
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     client = dial(program).send(job("a1"))
     run_until(program, lambda: program.counters.taken)
     sockets.fail("receive", error)
@@ -168,7 +168,7 @@
 def test_response_waits_for_socket_buffers(serve, dial, error):
     """Guards against a shortage treated as a broken connection, which lost the response."""
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("send", error, error)
     client = dial(program).send(UP_REQUEST)
     with stopped_clock(program):
@@ -226,7 +226,7 @@
     """Every call on every connection transfers one byte."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     send, receive = sockets.send, sockets.receive
     sockets.send = lambda sock, data: send(sock, bytes(data[:1]))
     sockets.receive = lambda sock, max_bytes: receive(sock, 1)
@@ -270,7 +270,7 @@
     """Guards against a loop that spins on a ready listener with no descriptor left."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     program = serve()
-    sockets = faulty(program)
+    sockets = inject_faults(program)
     sockets.fail("accept", error, error)
     with socket.socket(socket.AF_UNIX) as other:
         other.connect(str(program.upgrade._path))
@@ -332,7 +332,7 @@
             f"[fleet]\nlisten = '{HOST}:{free_port()}'\nmembers = ['{member_address}']\nperiod = 0.1\n"
         )
         program = make_program(file=file)
-        sockets = faulty(program)
+        sockets = inject_faults(program)
         sockets.fail("send_to", error)
         sockets.fail("receive", error)
         program.upgrade.find_predecessor()
