--- a/tests/faults.py
+++ b/tests/faults.py
@@ -89,5 +89,12 @@
     del clock.now
 
 
-LOCAL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
+LOCAL_ERRORS = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+)
 BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import BROKEN, LOCAL, FaultySockets, advance_clock, inject_faults, stopped_clock
+from faults import BROKEN, LOCAL_ERRORS, FaultySockets, advance_clock, inject_faults, stopped_clock
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
@@ -16,7 +16,7 @@
 from carthinge.net.loop import Loop
 from carthinge.net.stream import Stream
 
-LISTENER = (*LOCAL, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EOPNOTSUPP)
+LISTENER = (*LOCAL_ERRORS, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EOPNOTSUPP)
 
 
 def serve_one(program, dial, worker, name="a1"):
@@ -72,7 +72,7 @@
         assert sockets.made["accept"] == MAX_ABORTS_PER_TURN and program.counters.accept_pauses == 1
 
 
-@pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", LOCAL_ERRORS, ids=errno.errorcode.get)
 def test_local_shortage_is_not_blamed_on_worker(serve, dial, worker, error):
     """Guards against failed connects that each use up an attempt and count as a strike against a worker."""
     program = serve()
@@ -109,7 +109,7 @@
     assert only.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
 
 
-@pytest.mark.parametrize("error", LOCAL, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", LOCAL_ERRORS, ids=errno.errorcode.get)
 def test_discovery_is_retried_after_shortage(serve, worker, error):
     program = serve()
     sockets = inject_faults(program)
@@ -322,7 +322,7 @@
     loop.close()
 
 
-@pytest.mark.parametrize("error", [*LOCAL, errno.ECONNREFUSED, errno.EPERM], ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", [*LOCAL_ERRORS, errno.ECONNREFUSED, errno.EPERM], ids=errno.errorcode.get)
 def test_failed_datagram_is_counted_and_next_sent(make_program, tmp_path, error):
     file = tmp_path / "carthinge.toml"
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
