--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 import pytest
-from faults import BROKEN, LOCAL_ERRORS, FaultySockets, advance_clock, inject_faults, stopped_clock
+from faults import CONNECTION_ERRORS, LOCAL_ERRORS, FaultySockets, advance_clock, inject_faults, stopped_clock
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import HOST, free_port, job, member
 
@@ -124,7 +124,7 @@
     assert read_next(accept_next(worker, program), program)[0] == "GET /discovery/hosts HTTP/1.1"
 
 
-@pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", CONNECTION_ERRORS, ids=errno.errorcode.get)
 def test_break_before_202_is_a_reset(serve, dial, worker, error):
     """Whatever the error: the job may have run, and jobs of such a class are not sent again."""
     program = serve()
@@ -140,7 +140,7 @@
     assert program.counters.attempts_written == 1
 
 
-@pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", CONNECTION_ERRORS, ids=errno.errorcode.get)
 def test_break_before_last_byte_is_not_a_run(serve, dial, worker, error):
     program = serve()
     set_workers(program, member("s-0", worker.port))
@@ -152,7 +152,7 @@
     client.close()
 
 
-@pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", CONNECTION_ERRORS, ids=errno.errorcode.get)
 def test_broken_client_connection_counts_as_gone(serve, dial, error):
     program = serve()
     sockets = inject_faults(program)
