--- a/tests/faults.py
+++ b/tests/faults.py
@@ -26,7 +26,7 @@
     """Makes the real calls; a test can make the next ones fail, or run a hook right before or after them."""
 
     def __init__(self):
-        self.made = defaultdict(int)  # calls by name, including the failed ones
+        self.call_counts = defaultdict(int)  # calls by name, including the failed ones
         self._faults = defaultdict(deque)
         self._before = defaultdict(deque)
         self._after = defaultdict(deque)
@@ -48,7 +48,7 @@
         return len(self._faults[call])
 
     def _make_call(self, call, *arguments):
-        self.made[call] += 1
+        self.call_counts[call] += 1
         if self._before[call]:
             self._before[call].popleft()(*arguments)
         if self._faults[call]:
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -166,10 +166,10 @@
     client = dial(program).send(UP_REQUEST)
     assert read_next(client, program)[0].endswith("200 OK")
     sockets = inject_faults(program)
-    read = sockets.made["receive"]
+    read = sockets.call_counts["receive"]
     sockets.before("close", lambda sock: client.send(job("a1")))
     drain_program(program)
-    assert client.ended() and sockets.made["receive"] == read
+    assert client.ended() and sockets.call_counts["receive"] == read
     for _ in range(20):
         program.loop.turn(idle=False)
         program.tracker.decide()
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -25,7 +25,7 @@
 def one_read(program):
     """Run turns until a client's data has been read."""
     sockets = program.loop.sockets = FaultySockets()
-    run_until(program, lambda: sockets.made["receive"])
+    run_until(program, lambda: sockets.call_counts["receive"])
 
 
 def test_silent_client_is_closed_slow_writer_served(serve, dial):
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -39,10 +39,10 @@
     sockets.fail("accept", *[error] * 3)
     client = dial(program).send(UP_REQUEST)
     with stopped_clock(program):
-        run_until(program, lambda: sockets.made["accept"])
+        run_until(program, lambda: sockets.call_counts["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["accept"] == 1, "accept was retried within the pause"
+        assert sockets.call_counts["accept"] == 1, "accept was retried within the pause"
     for _ in range(3):
         advance_clock(program, ACCEPT_PAUSE)
         program.loop.turn(idle=False)
@@ -66,10 +66,10 @@
     sockets.fail("accept", *[errno.ECONNABORTED] * (MAX_ABORTS_PER_TURN + 1))
     dial(program)
     with stopped_clock(program):
-        run_until(program, lambda: sockets.made["accept"])
+        run_until(program, lambda: sockets.call_counts["accept"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["accept"] == MAX_ABORTS_PER_TURN and program.counters.accept_pauses == 1
+        assert sockets.call_counts["accept"] == MAX_ABORTS_PER_TURN and program.counters.accept_pauses == 1
 
 
 @pytest.mark.parametrize("error", LOCAL_ERRORS, ids=errno.errorcode.get)
@@ -81,10 +81,10 @@
     sockets.fail("connect", *[error] * 5)
     client = dial(program).send(job("a1"))
     with stopped_clock(program):
-        run_until(program, lambda: sockets.made["connect"])
+        run_until(program, lambda: sockets.call_counts["connect"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["connect"] == 1, "it was retried at once"
+        assert sockets.call_counts["connect"] == 1, "it was retried at once"
     for _ in range(5):
         advance_clock(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
@@ -117,7 +117,7 @@
     from carthinge.net.http import Address
 
     program.watch.set_address(Address("127.0.0.1", worker.port))
-    assert sockets.made["connect"] == 1
+    assert sockets.call_counts["connect"] == 1
     for _ in range(2):
         advance_clock(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
@@ -172,10 +172,10 @@
     sockets.fail("send", error, error)
     client = dial(program).send(UP_REQUEST)
     with stopped_clock(program):
-        run_until(program, lambda: sockets.made["send"])
+        run_until(program, lambda: sockets.call_counts["send"])
         for _ in range(20):
             program.loop.turn(idle=False)
-        assert sockets.made["send"] == 1, "it was retried at once"
+        assert sockets.call_counts["send"] == 1, "it was retried at once"
     run_until(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
     assert read_next(client, program)[0].endswith("200 OK")
 
@@ -275,10 +275,10 @@
     with socket.socket(socket.AF_UNIX) as other:
         other.connect(str(program.upgrade._path))
         with stopped_clock(program):
-            run_until(program, lambda: sockets.made["accept"])
+            run_until(program, lambda: sockets.call_counts["accept"])
             for _ in range(20):
                 program.loop.turn(idle=False)
-            assert sockets.made["accept"] == 1, "accept was retried within the pause"
+            assert sockets.call_counts["accept"] == 1, "accept was retried within the pause"
         for _ in range(2):
             advance_clock(program, ACCEPT_PAUSE)
             program.loop.turn(idle=False)
