--- a/tests/faults.py
+++ b/tests/faults.py
@@ -43,7 +43,7 @@
         """Call ``hook`` likewise, right after the call."""
         self._after[call].append(hook)
 
-    def left(self, call):
+    def pending(self, call):
         """Return how many faults of that call are still to come."""
         return len(self._faults[call])
 
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -47,7 +47,7 @@
         advance_clock(program, ACCEPT_PAUSE)
         program.loop.turn(idle=False)
     run_until(program, lambda: program.frontend.slots.kept)
-    assert client.status() == 200 and sockets.left("accept") == 0
+    assert client.status() == 200 and sockets.pending("accept") == 0
     assert program.counters.accept_pauses == 3
 
 
@@ -176,7 +176,7 @@
         for _ in range(20):
             program.loop.turn(idle=False)
         assert sockets.call_counts["send"] == 1, "it was retried at once"
-    run_until(program, lambda: sockets.left("send") == 0 and not program.loop._next_turn_calls)
+    run_until(program, lambda: sockets.pending("send") == 0 and not program.loop._next_turn_calls)
     assert read_next(client, program)[0].endswith("200 OK")
 
 
