--- a/tests/durable_world.py
+++ b/tests/durable_world.py
@@ -37,10 +37,10 @@
 
     If a start or a commit outlasts a lease, the scheduler withdraws the attempt: that DELETE is answered.
     """
-    number, peer, (line, headers, _) = world.take()
+    number, peer, (line, headers, _) = world.next_request()
     while line.startswith("DELETE /jobs/"):
         peer.answer(204)
-        number, peer, (line, headers, _) = world.take()
+        number, peer, (line, headers, _) = world.next_request()
     assert line.startswith("POST "), line
     return number, peer, headers
 
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -40,17 +40,17 @@
 def test_withdrawal_waits_for_dial_timeout(tmp_path):
     with World(tmp_path, workers=2, settings=site({"dial_timeout": 2_500_000})) as world:
         world.submit("a1")
-        _, peer, _ = world.take()
+        _, peer, _ = world.next_request()
         peer.answer(202)
         assert peer.read()[0].startswith("DELETE")  # which is not answered
         since = time.monotonic()
-        assert world.take()[2][0].startswith("POST") and time.monotonic() - since > 0.5
+        assert world.next_request()[2][0].startswith("POST") and time.monotonic() - since > 0.5
 
 
 def test_fast_network_shortens_wait_for_202(tmp_path):
     with World(tmp_path, settings=site({"dial_timeout": 25_000})) as world:
         world.submit("a1")
-        number, peer, _ = world.take()
+        number, peer, _ = world.next_request()
         world.tell("a1", "done", number)
         since = time.monotonic()
         assert peer.ended() and time.monotonic() - since < 1.5
@@ -95,7 +95,7 @@
 def test_callback_accepted_with_partial_report(tmp_path):
     with World(tmp_path) as world:
         client = world.submit("a1")
-        number, peer, _ = world.take()
+        number, peer, _ = world.next_request()
         peer.answer(202)
         assert world.tell("a1", "done", number, load={"util": None, "x0": 1.0}) == 204
         assert client.status() == 200
@@ -109,11 +109,11 @@
     """Nothing carried the probe out: with probing enabled the program ended at the first job."""
     with World(tmp_path, settings=site({"probing": True, "peers": True}, **PROBED)) as world:
         world.submit("a1")
-        _, peer, (line, _, _) = world.take()
+        _, peer, (line, _, _) = world.next_request()
         assert line == "GET /metrics/load HTTP/1.1"
         if free is not None:
             peer.answer(200, json.dumps({"x0": free}).encode())
-        while world.take()[2][0].startswith("GET"):
+        while world.next_request()[2][0].startswith("GET"):
             pass
 
 
@@ -123,9 +123,9 @@
 def submit_hedged(world):
     """Submit a job; the first worker stays silent, and the second gets a copy."""
     client = world.submit("a1")
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     peer.answer(202)
-    second, peer, _ = world.take()
+    second, peer, _ = world.next_request()
     assert second == 1 - first and world.counters()["attempts"] == 2
     return client, first, second, peer
 
@@ -137,7 +137,7 @@
         peer.answer(202)
         assert world.tell("a1", "done", second, result="of the copy") == 204
         assert client.read()[2] == b"of the copy"
-        at, _, (line, _, _) = world.take()
+        at, _, (line, _, _) = world.next_request()
         assert (at, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -79,7 +79,7 @@
     with World(tmp_path, sockets=128, settings=SETTINGS) as world:
         idle = [world.connect() for _ in range(300)]
         client = world.submit("a1")
-        number, peer, _ = world.take()
+        number, peer, _ = world.next_request()
         peer.answer(202)
         assert world.tell("a1", "done", number, result="r") == 204
         assert client.read()[2] == b"r" and len(idle) == 300
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -46,7 +46,7 @@
     peer.read()  # the next call shows that the list was applied
     for number in range(4):
         world.submit(f"a{number}")
-        assert world.take()[0] == 1
+        assert world.next_request()[0] == 1
 
 
 def test_list_arriving_byte_by_byte_is_read(world):
@@ -65,7 +65,7 @@
     world.workers[0].close()
     world.workers[0] = moved
     world.submit("a1")
-    assert world.take()[2][1]["req-id"] == "a1"
+    assert world.next_request()[2][1]["req-id"] == "a1"
 
 
 @pytest.mark.parametrize("failure", ["status", "garbage", "reset", "broken off"])
@@ -82,7 +82,7 @@
         peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
         assert peer.ended() and time.monotonic() - since < 1.5
     world.submit("a1")
-    assert world.take()[2][1]["req-id"] == "a1"
+    assert world.next_request()[2][1]["req-id"] == "a1"
     assert world.watched()[1].startswith("GET /discovery/hosts?index=7")
     assert world.counters()["watch_failures"] == 1 and "discovery_failed" in world.log()
 
@@ -103,7 +103,7 @@
     assert old.ended()
     assert peer.read()[0] == "GET /discovery/hosts HTTP/1.1"  # revisions differ between discoveries
     world.submit("a1")
-    assert world.take()[2][1]["req-id"] == "a1"
+    assert world.next_request()[2][1]["req-id"] == "a1"
     peer.answer(200, list_body(3, member("s-0", world.workers[0].port, phase="Terminating"), complete=True))
     assert peer.read()[0].startswith("GET /discovery/hosts?index=3&wait=")
     assert world.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")[0].endswith("503 Service Unavailable")
@@ -167,7 +167,7 @@
         world.wait_until_up()
         for number in range(4):
             world.submit(f"a{number}")
-            assert world.take()[0] == 1
+            assert world.next_request()[0] == 1
 
 
 def test_successor_requests_agent_list(tmp_path):
@@ -180,7 +180,7 @@
         peer.answer(200, list_body(8, member("s-1", world.workers[1].port), complete=True))
         peer.read()
         world.submit("a1")
-        assert world.take()[0] == 1
+        assert world.next_request()[0] == 1
 
 
 @pytest.mark.parametrize("failure", ["reset", "silent", "status"])
@@ -198,7 +198,7 @@
         assert time.monotonic() - since < 2
         assert world.counters()["watch_failures"] < 9, "a busy loop"
         world.submit("a1")
-        assert world.take()[2][1]["req-id"] == "a1"
+        assert world.next_request()[2][1]["req-id"] == "a1"
 
 
 def test_reload_to_pushed_mode_starts_watch(tmp_path):
@@ -227,7 +227,7 @@
         world.submit("a1")
         world.wait_for_log("attempt_sent")
         peer.answer(200, list_body(9, member("s-1", port, phase="Terminating"), member("s-0", good)))
-        assert world.take()[2][1]["req-id"] == "a1"
+        assert world.next_request()[2][1]["req-id"] == "a1"
         counted = world.counters()
         assert (counted["attempt_not_sent"], counted["attempts_written"]) == (1, 1)
         for sock in [full, *fillers]:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -100,7 +100,7 @@
     path = put(world, "a1")
     accept(world)
     assert get(world, path, "DELETE")[0] == 204
-    assert world.take()[2][0].startswith("DELETE /jobs/a1")
+    assert world.next_request()[2][0].startswith("DELETE /jobs/a1")
     assert get(world, path)[0] == 410
     assert get(world, path, "DELETE")[0] == 204
     world.kill()
@@ -133,7 +133,7 @@
 
 def test_prefer_is_ignored_for_other_classes(world):
     client = world.submit("a1", Prefer="respond-async")
-    number, peer, (_, headers, _) = world.take()
+    number, peer, (_, headers, _) = world.next_request()
     assert "lease-token" not in headers
     peer.answer(202)
     world.tell("a1", "done", number, result="r")
@@ -159,7 +159,7 @@
 def test_expired_lease_moves_job_to_other_worker(world):
     path = put(world, "a1")
     first, req_id, token = accept(world)
-    withdrawal = world.take()
+    withdrawal = world.next_request()
     assert withdrawal[0] == first and withdrawal[2][0].startswith("DELETE /jobs/a1")
     withdrawal[1].answer(200)
     second, _, later = accept(world)
@@ -189,14 +189,14 @@
     with World(tmp_path, file=FILE, workers=2, settings={**SETTINGS, "services": patient_services}) as world:
         paths = [put(world, f"a{step}", key=f"k{step}", deadline="300000m") for step in range(8)]
         # Both workers are full, and the long objective keeps silent attempts open.
-        taken = [world.take() for _ in paths]
+        taken = [world.next_request() for _ in paths]
         number, peer, (_, headers, _) = taken[0]
         late, token = headers["req-id"], int(headers["lease-token"])
         for worker, other, (_, other_headers, _) in taken[1:]:
             other.answer(202)
             assert world.tell(other_headers["req-id"], "started", worker) == 204
         peer.answer(202, Lease_Token=token)
-        _, peer, (line, _, _) = world.take()
+        _, peer, (line, _, _) = world.next_request()
         assert line.startswith(f"DELETE /jobs/{late} ")  # its lease has expired
         peer.answer(200)
         world.wait_for_log(f"attempt_ended id={late} ")
--- a/tests/test_durable_crashes.py
+++ b/tests/test_durable_crashes.py
@@ -175,7 +175,7 @@
         world.restart()
         line, headers = "", {}
         while not (line.startswith("POST") and headers["req-id"] == "a1"):  # other jobs move as well
-            number, peer, (line, headers, _) = world.take()
+            number, peer, (line, headers, _) = world.next_request()
             peer.answer(202)
             # The worker's limit has fallen to one job at a time.
             if line.startswith("POST") and headers["req-id"] != "a1":
@@ -187,7 +187,7 @@
 
 def test_crash_before_202_waits_for_worker(world):
     client = put(world, "a1", prefer=None)
-    number, _, (_, headers, _) = world.take()  # without a 202
+    number, _, (_, headers, _) = world.next_request()  # without a 202
     world.kill()
     client.close()
     world.restart()
--- a/tests/test_durable_disk.py
+++ b/tests/test_durable_disk.py
@@ -75,7 +75,7 @@
     first, headers, _ = put(world, "a1", prefer=None).read()
     assert first.split()[1] == "503" and "retry-after" in headers and time.monotonic() - began < 1.5
     client = world.submit("q1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("q1", "done", number, result="r")
     assert client.status() == 200
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -124,7 +124,7 @@
         assert client.read()[0].split()[1] == "202"
         old.terminate()
         assert old.wait(10) == 0
-        number, peer, (_, headers, _) = world.take()
+        number, peer, (_, headers, _) = world.next_request()
         assert headers["req-id"] == "a1"
         peer.answer(202)
         world.tell("a1", "done", number, result="r")
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -96,7 +96,7 @@
     def work():
         while True:
             try:
-                number, peer, (line, headers, _) = held.take()
+                number, peer, (line, headers, _) = held.next_request()
             except (AssertionError, ValueError, OSError):  # the test is over
                 return
             with contextlib.suppress(OSError, EOFError):  # withdrawn in the meantime: continue with the next
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -132,7 +132,7 @@
         for world in worlds[:2]:
             for number in range(3):
                 open_jobs.append((world, f"a{number}", world.submit(f"a{number}", deadline="600000m")))
-                world.take()[1].answer(202)
+                world.next_request()[1].answer(202)
         until = time.monotonic() + 6 * WAIT
         while not figures(worlds[2])["level_most"]:
             assert time.monotonic() < until, [figures(world) for world in worlds]
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -32,7 +32,7 @@
         used = set()
         for step in range(times):
             client = self.world.submit(f"{prefix}{step}")
-            self.world.take()[1].answer(202)
+            self.world.next_request()[1].answer(202)
             sent = re.findall(rf"event=attempt_sent id={prefix}{step} worker=s-(\d+)", self.world.log())
             used.add(int(sent[-1]))
             assert self.world.tell(f"{prefix}{step}", "done", int(sent[-1]), result="r") == 204
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -118,7 +118,7 @@
     serve_next(world, "b1", state="failed")
     assert client.status() == 502
     client = world.submit("c1", kind="reindex", deadline="300m")
-    world.take()[1].answer(202)
+    world.next_request()[1].answer(202)
     assert world.metrics()["in_flight"] == 1
     assert client.status() == 503
     metrics = world.metrics()
@@ -186,7 +186,7 @@
 
 def test_running_job_finishes_at_excluded_worker(world):
     client = world.submit("a1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     assert world.by_hand("disable", world.names[number]) == 200
     peer.answer(202)
     world.tell("a1", "done", number, result="r")
@@ -222,7 +222,7 @@
     used = {}
     while len(used) < 2:
         client = world.submit(f"a{len(world.opened)}")
-        number, peer, (_, headers, _) = world.take()
+        number, peer, (_, headers, _) = world.next_request()
         peer.answer(202)
         world.tell(headers["req-id"], "done", number)
         assert client.status() == 200
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -46,13 +46,13 @@
 def test_open_job_keeps_its_class(world):
     """By position its class would now be one that may be retried, and it would run twice."""
     client = world.submit("a1", kind="charge")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     reload_and_wait(world, changed_settings([REINDEX, {**CHARGE, "effect": "read_like"}, QUERY]))
     world.tell("a1", "lost", number)
     assert client.status() == 502
     repeated = world.submit("a2", kind="charge")  # by its new effect
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("a2", "lost", number)
     serve_next(world, "a2")
@@ -63,14 +63,14 @@
 def test_lower_attempt_limit_applies(tmp_path, before, after):
     with World(tmp_path, workers=3, settings=changed_settings(try_limit=before)) as world:
         client = world.submit("a1")
-        number, peer, _ = world.take()
+        number, peer, _ = world.next_request()
         peer.answer(202)
         reload_and_wait(world, changed_settings(try_limit=after))
         world.tell("a1", "lost", number)
         assert client.status() == 503
         client = world.submit("a2")
         for _ in range(after):
-            number, peer, _ = world.take()
+            number, peer, _ = world.next_request()
             peer.answer(202)
             world.tell("a2", "lost", number)
         assert client.status() == 503
@@ -124,7 +124,7 @@
         while world.metrics()["reloads_failed"] < count:
             assert world.metrics()["reloads_ok"] == 0, name
     client = world.submit("a1", kind="charge")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("a1", "lost", number)
     assert client.status() == 502  # by the old effect
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -9,7 +9,7 @@
 
 def test_job_and_result_passed_on_unchanged(world):
     client = world.submit("a1", path="/api/7f3a9c21e0b4d655?x=1", body=b"work", Idempotency_Key="k1")
-    number, peer, (line, headers, body) = world.take()
+    number, peer, (line, headers, body) = world.next_request()
     assert line == "POST /api/7f3a9c21e0b4d655?x=1 HTTP/1.1" and body == b"work"
     assert headers["req-id"] == "a1" and headers["idempotency-key"] == "k1"
     assert 4000 < int(headers["req-deadline"][:-1]) <= 5000
@@ -22,19 +22,19 @@
 
 def test_path_without_query_passed_on_unchanged(world):
     world.submit("a1", path="/api")
-    assert world.take()[2][0] == "POST /api HTTP/1.1"
+    assert world.next_request()[2][0] == "POST /api HTTP/1.1"
 
 
 def test_request_sent_byte_by_byte(world):
     client = world.connect()
     for byte in job("a1", body=b"split"):
         client.send(bytes((byte,)))
-    assert world.take()[2][2] == b"split"
+    assert world.next_request()[2][2] == b"split"
 
 
 def test_worker_answer_and_callback_byte_by_byte(world):
     client = world.submit("a1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     body = json.dumps({"id": "a1", "from": world.names[number], "state": "done", "result": "r"}).encode()
     caller = world.connect()
     call = b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -43,7 +43,7 @@
             to.send(bytes((byte,)))
     assert caller.status() == 204 and client.read()[2] == b"r"
     world.submit("a2")
-    assert world.take()[2][1]["req-id"] == "a2"  # the connection is still in sync
+    assert world.next_request()[2][1]["req-id"] == "a2"  # the connection is still in sync
 
 
 def test_whitespace_around_header_values_is_stripped(world):
@@ -73,7 +73,7 @@
 
 def test_body_limit_is_64_kib(world):
     world.submit("a1", body=b"x" * 65536)
-    assert len(world.take()[2][2]) == 65536
+    assert len(world.next_request()[2][2]) == 65536
     oversized = world.submit("a2", body=b"x" * 65537)
     assert oversized.status() == 413 and oversized.ended()
     chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
@@ -132,7 +132,7 @@
 
 def test_unparsable_input_ends_connection(world):
     client = world.submit("a1")
-    _, peer, _ = world.take()
+    _, peer, _ = world.next_request()
     client.send(job("a2") + b"\x00\x01\r\n\r\n")
     assert [client.status(), client.status()] == [400, 400] and client.ended()
     assert peer.ended()  # its job has no waiting client any more
@@ -147,7 +147,7 @@
 def test_trailers_are_not_headers(world):
     head = job("a1").split(b"Content-Length")[0] + b"Transfer-Encoding: chunked\r\n\r\n"
     world.connect().send(head + b"0\r\nReq-Id: a2\r\n\r\n")
-    assert world.take()[2][1]["req-id"] == "a1"
+    assert world.next_request()[2][1]["req-id"] == "a1"
 
 
 def test_timeouts_of_silent_slow_and_kept_clients(world):
@@ -202,7 +202,7 @@
 
 def test_result_with_any_json_characters(world):
     client = world.submit("a1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     text = "".join(map(chr, (0, 10, 34, 92, 0x20AC, 0x1F600)))
     assert json.loads(json.dumps(text)) == text
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -55,8 +55,8 @@
 )
 def test_non_202_answer_ends_attempt(world, status, headers, counter):
     client = world.submit("a1")
-    world.take()[1].answer(status, **headers)
-    second, peer, _ = world.take()
+    world.next_request()[1].answer(status, **headers)
+    second, peer, _ = world.next_request()
     peer.answer(202)
     assert world.counters()[counter] == 1
     world.tell("a1", "done", second, result="second")
@@ -66,11 +66,11 @@
 @pytest.mark.parametrize("status", [400, 404])
 def test_rejected_job_not_retried_worker_not_blamed(world, status):
     client = world.submit("a1")
-    world.take()[1].answer(status)
+    world.next_request()[1].answer(status)
     assert client.status() == 400
     for number in range(2, 8):  # no worker is avoided because of it
         client.send(job(f"a{number}"))
-        world.take()[1].answer(status)
+        world.next_request()[1].answer(status)
         assert client.status() == 400
     counters = world.counters()
     assert (counters["attempts"], counters["attempt_error"], counters["failed"]) == (7, 0, 7)
@@ -94,7 +94,7 @@
     while world.counters()["taken"] < 2:  # otherwise the first may end before the second arrives
         pass
     for _ in clients:
-        number, peer, (_, headers, _) = world.take()
+        number, peer, (_, headers, _) = world.next_request()
         peer.answer(202)
         assert world.tell(headers["req-id"], "done", number) == 204
     assert [client.status() for client in clients] == [200, 200]
@@ -123,7 +123,7 @@
 
 def test_early_and_repeated_callbacks(world):
     client = world.submit("a1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     assert world.tell("a1", "done", number, result="early") == 204
     assert client.read()[2] == b"early"
     assert world.tell("a1", "done", number, result="again") == 204
@@ -134,7 +134,7 @@
 
 def test_missing_202_after_callback_frees_connection(world):
     world.submit("a1")
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     world.tell("a1", "done", number)
     assert peer.ended()
 
@@ -142,7 +142,7 @@
 def test_callback_counts_only_for_open_attempt(world):
     client = world.submit("a1")
     first, _ = serve_next(world, "a1", state="lost")
-    second, peer, _ = world.take()
+    second, peer, _ = world.next_request()
     peer.answer(202)
     assert world.tell("a1", "done", first, result="from the lost one") == 204
     assert world.tell("a1", "done", second, result="from the right one") == 204
@@ -154,7 +154,7 @@
     """The only worker reports no free slot and is not sent the next job for a while."""
     with World(tmp_path) as world:
         world.submit("a1")
-        number, peer, _ = world.take()
+        number, peer, _ = world.next_request()
         peer.answer(202)
         since = time.monotonic()
         world.tell("a1", "done", number, load={"util": 1.0, "qps": 3.0, "x0": 0.0})
@@ -168,7 +168,7 @@
 
 def test_client_leaving_withdraws_job(world):
     client = world.submit("a1")
-    _, peer, _ = world.take()
+    _, peer, _ = world.next_request()
     peer.answer(202)
     world.counters()  # one turn later the 202 has been read
     client.close()
@@ -180,11 +180,11 @@
 
 def test_silent_worker_withdrawn_before_retry(world):
     client = world.submit("a1")
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     peer.answer(202)
     assert peer.read()[0] == "DELETE /jobs/a1 HTTP/1.1"
     peer.answer(204)
-    second, peer, _ = world.take()
+    second, peer, _ = world.next_request()
     assert second != first
     peer.answer(202)
     world.tell("a1", "done", second)
@@ -193,10 +193,10 @@
 
 def expect_withdrawal_and_retry(world, client, first):
     """The job is withdrawn from its first worker by a DELETE, and only then sent to the other."""
-    worker, peer, (line, _, _) = world.take()
+    worker, peer, (line, _, _) = world.next_request()
     assert (worker, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
     peer.answer(204)
-    second, peer, (line, _, _) = world.take()
+    second, peer, (line, _, _) = world.next_request()
     assert second != first and line.startswith("POST")
     peer.answer(202)
     world.tell("a1", "done", second)
@@ -206,11 +206,11 @@
 def test_reset_withdrawal_resent_before_retry(world):
     """The worker has not read the DELETE and still runs the job: another attempt would be a second copy."""
     client = world.submit("a1")
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     peer.answer(202)
     world.counters()  # the 202 has been read
     for _ in range(2):
-        worker, peer, (line, _, _) = world.take()
+        worker, peer, (line, _, _) = world.next_request()
         assert (worker, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
         del world.kept[peer.sock]
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # a reset
@@ -221,7 +221,7 @@
 
 def make_unreachable(world, stack):
     """Let a worker accept a job and be unreachable until the sockets that fill its backlog are closed."""
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     listener = world.workers[first].sock
     listener.listen(0)  # with a full backlog it accepts no connection
     fill_sockets = [stack.enter_context(socket.socket()) for _ in range(4)]
@@ -257,7 +257,7 @@
 def test_no_retry_while_draining_worker_refuses_connections(world):
     """A worker that refuses connections finishes its jobs, unless its agent reports them as lost."""
     client = world.submit("a1")
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     world.workers.pop(first).close()
     peer.answer(202, Connection="close")
     world.wait_for_log("event=not_withdrawn")
@@ -273,11 +273,11 @@
 def test_withdrawal_before_202_closes_and_deletes(world):
     """The worker may have sent its 202 already: then closing the connection does not withdraw the job."""
     client = world.submit("a1")
-    worker, peer, _ = world.take()
+    worker, peer, _ = world.next_request()
     client.close()
     assert peer.ended()
     del world.kept[peer.sock]
-    same_worker, peer, (line, _, _) = world.take()
+    same_worker, peer, (line, _, _) = world.next_request()
     assert (same_worker, line) == (worker, "DELETE /jobs/a1 HTTP/1.1")
     peer.answer(204)
     assert world.counters()["withdrawn"] == 1
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize(("kind", "status"), [("query", 503), ("reindex", 503), ("charge", 504)])
 def test_one_final_answer_before_client_deadline(world, kind, status):
     client = world.submit("a1", kind=kind, deadline="400m")
-    number, peer, (_, headers, _) = world.take()
+    number, peer, (_, headers, _) = world.next_request()
     assert int(headers["req-deadline"][:-1]) <= 390  # part of the time is reserved for the answer
     peer.answer(202)
     assert client.status() == status
--- a/tests/test_serve_ends.py
+++ b/tests/test_serve_ends.py
@@ -40,7 +40,7 @@
     """With other schedulers, clients are moved to them while accepted requests are served."""
     first = world.submit("a1")
     kept = world.connect()
-    _, peer, _ = world.take()
+    _, peer, _ = world.next_request()
     peer.answer(202)
     world.terminate()
     since = time.monotonic()
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -176,7 +176,7 @@
         assert old.wait(10) == 0
         for name, kind, number in (("a1", "reindex", 1), ("a2", "query", 0)):
             client = world.submit(name, kind=kind)
-            at, peer, _ = world.take()
+            at, peer, _ = world.next_request()
             assert at == number
             peer.answer(202)
             assert world.tell(name, "done", at, result="r") == 204
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,7 +25,7 @@
     held = []
     for number in range(count):
         client = world.submit(f"held{number}", kind="reindex", deadline="9000m", **more)
-        at, peer, _ = world.take()
+        at, peer, _ = world.next_request()
         peer.answer(202)
         assert world.tell(f"held{number}", "started", at) == 204  # keeps the worker from being suspected
         held.append((client, at, f"held{number}"))
@@ -86,7 +86,7 @@
     body = json.dumps({"id": "new", "from": "s-0", "state": "done", "result": "x"}).encode()
     caller.send(b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body))
     early = world.submit("early", kind="reindex")
-    at, _, _ = world.take()  # without a 202 this job stays at the old process, too
+    at, _, _ = world.next_request()  # without a 202 this job stays at the old process, too
     world.tell("early", "started", at)
     world.counters()  # the half callback is read
     world.upgrade()
@@ -94,7 +94,7 @@
     assert early.read()[2] == b"y"
     while True:  # until a job is at the worker that the half callback names
         client = world.submit("new")
-        at, peer, _ = world.take()
+        at, peer, _ = world.next_request()
         peer.answer(202)
         if at == 0:
             break
@@ -111,14 +111,14 @@
     """Open jobs survive a SIGKILL of the old process, and their earlier attempts still limit retries."""
     held = hold_jobs(world, 2)
     charge = world.submit("charge", kind="charge", deadline="9000m")
-    at, peer, _ = world.take()
+    at, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("charge", "started", at)
     again = world.submit("again", kind="query", deadline="9000m")
-    first, peer, _ = world.take()
+    first, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("again", "lost", first)
-    last, peer, _ = world.take()
+    last, peer, _ = world.next_request()
     peer.answer(202)
     world.tell("again", "started", last)
     world.counters()  # the 202 is read
@@ -278,7 +278,7 @@
 
 def test_old_process_killed_during_upgrade(world):
     client = world.submit("a1", kind="reindex")
-    at, _, _ = world.take()  # without a 202 it cannot be handed over
+    at, _, _ = world.next_request()  # without a 202 it cannot be handed over
     world.tell("a1", "started", at)  # otherwise it would be tried at another worker soon
     old, _ = world.upgrade()
     old.kill()
--- a/tests/world.py
+++ b/tests/world.py
@@ -264,7 +264,7 @@
         self.opened.append(peer)
         return peer
 
-    def take(self):
+    def next_request(self):
         """Return the next request to any worker: the worker's number, the connection and the request."""
         deadline = time.monotonic() + WAIT
         while time.monotonic() < deadline:
@@ -345,7 +345,7 @@
 
 def serve_next(world, req_id, result="r", state="done"):
     """Accept the next job at the worker that gets it, and report its end."""
-    number, peer, _ = world.take()
+    number, peer, _ = world.next_request()
     peer.answer(202)
     assert world.tell(req_id, state, number, result=result) == 204
     return number, peer
