--- a/tests/durable_world.py
+++ b/tests/durable_world.py
@@ -50,7 +50,7 @@
     number, peer, headers = take_job(world)
     token = int(headers["lease-token"])
     peer.answer(202, **({"Lease_Token": token} if takes_part else {}))
-    world.tell(headers["req-id"], "started", number, **({"token": token} if takes_part else {}))
+    world.send_callback(headers["req-id"], "started", number, **({"token": token} if takes_part else {}))
     return number, headers["req-id"], token
 
 
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -51,7 +51,7 @@
     with World(tmp_path, settings=site({"dial_timeout": 25_000})) as world:
         world.submit("a1")
         number, peer, _ = world.next_request()
-        world.tell("a1", "done", number)
+        world.send_callback("a1", "done", number)
         since = time.monotonic()
         assert peer.ended() and time.monotonic() - since < 1.5
 
@@ -97,7 +97,7 @@
         client = world.submit("a1")
         number, peer, _ = world.next_request()
         peer.answer(202)
-        assert world.tell("a1", "done", number, load={"util": None, "x0": 1.0}) == 204
+        assert world.send_callback("a1", "done", number, load={"util": None, "x0": 1.0}) == 204
         assert client.status() == 200
 
 
@@ -135,7 +135,7 @@
     with World(tmp_path, workers=2, settings=site({"second_copies": True})) as world:
         client, first, second, peer = submit_hedged(world)
         peer.answer(202)
-        assert world.tell("a1", "done", second, result="of the copy") == 204
+        assert world.send_callback("a1", "done", second, result="of the copy") == 204
         assert client.read()[2] == b"of the copy"
         at, _, (line, _, _) = world.next_request()
         assert (at, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
@@ -148,5 +148,5 @@
         world.upgrade()
         peer.answer(503, Srv_Declined="1")  # only the process that has sent it receives this
         since = time.monotonic()
-        assert world.tell("a1", "failed", first) == 204
+        assert world.send_callback("a1", "failed", first) == 204
         assert client.status() == 503 and time.monotonic() - since < 2  # no attempt is left
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -81,5 +81,5 @@
         client = world.submit("a1")
         number, peer, _ = world.next_request()
         peer.answer(202)
-        assert world.tell("a1", "done", number, result="r") == 204
+        assert world.send_callback("a1", "done", number, result="r") == 204
         assert client.read()[2] == b"r" and len(idle) == 300
--- a/tests/test_durable_crashes.py
+++ b/tests/test_durable_crashes.py
@@ -28,7 +28,7 @@
     world.kill()
     world.restart()
     assert get(world, path, prefer="")[0] == 202
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert get(world, path)[1] == b"r"
     assert world.counters()["attempts_written"] == 0
 
@@ -42,10 +42,10 @@
         world.restart()
         assert world.metrics()["durable"]["open"] == 5
         for number, req_id, token in out:
-            assert world.tell(req_id, "done", number, result=req_id, token=token) == 204
+            assert world.send_callback(req_id, "done", number, result=req_id, token=token) == 204
         number, req_id, token = accept(world)
         assert {req_id, *(sent[1] for sent in out)} == {f"a{step}" for step in range(5)}
-        assert world.tell(req_id, "done", number, result=req_id, token=token) == 204
+        assert world.send_callback(req_id, "done", number, result=req_id, token=token) == 204
         assert [get(world, path)[1] for path in paths] == [f"a{step}".encode() for step in range(5)]
 
 
@@ -57,14 +57,14 @@
         client.read()
     world.restart()
     again = put(world, "a2", prefer=None)
-    world.tell(req_id, "done", number, result="r", token=token)
+    world.send_callback(req_id, "done", number, result="r", token=token)
     assert again.read()[2] == b"r"
     world.kill()
     world.restart()
     assert put(world, "a3", prefer=None).read()[2] == b"r"
     # The worker got no answer and repeats its callback.
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
-    assert world.tell(req_id, "done", number, result="x", token=token + 1) == 409
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="x", token=token + 1) == 409
     assert world.counters()["attempts_written"] == 0
 
 
@@ -109,7 +109,7 @@
     def run():
         while not served.wait(0.1):
             with contextlib.suppress(OSError, EOFError):
-                world.tell(req_id, "running", number, share=0.5, token=token)
+                world.send_callback(req_id, "running", number, share=0.5, token=token)
 
     worker = threading.Thread(target=run)
     worker.start()
@@ -120,7 +120,7 @@
     world.restart()
     served.set()
     worker.join()
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert get(world, headers["location"])[1] == b"r"
 
 
@@ -179,9 +179,11 @@
             peer.answer(202)
             # The worker's limit has fallen to one job at a time.
             if line.startswith("POST") and headers["req-id"] != "a1":
-                world.tell(headers["req-id"], "done", number, result="r", token=int(headers["lease-token"]))
+                world.send_callback(
+                    headers["req-id"], "done", number, result="r", token=int(headers["lease-token"])
+                )
         assert number == 1
-        assert world.tell("a1", "done", 1, result="r", token=int(headers["lease-token"])) == 204
+        assert world.send_callback("a1", "done", 1, result="r", token=int(headers["lease-token"])) == 204
         assert get(world, path)[1] == b"r"
 
 
@@ -192,7 +194,7 @@
     client.close()
     world.restart()
     token = int(headers["lease-token"])
-    assert world.tell("a1", "done", number, result="r", token=token) == 204
+    assert world.send_callback("a1", "done", number, result="r", token=token) == 204
     assert put(world, "a2", prefer=None).read()[2] == b"r"
     assert world.counters()["attempts_written"] == 0
 
@@ -204,6 +206,6 @@
     client.close()
     append_records(world, lambda jobs, now: Ended(jobs["a1"], JobState.SERVED, b"r", token, now, now + 10**8))
     world.restart()
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert put(world, "a2", prefer=None).read()[2] == b"r"
     assert world.counters()["attempts_written"] == 0
--- a/tests/test_durable_disk.py
+++ b/tests/test_durable_disk.py
@@ -52,7 +52,7 @@
     """Serve jobs until this one, at any worker; attempts from before a kill may be retried first."""
     while True:
         number, taken, token = accept(world)
-        assert world.tell(taken, "done", number, token=token, result="r") in (204, 409)
+        assert world.send_callback(taken, "done", number, token=token, result="r") in (204, 409)
         if taken == req_id:
             return
 
@@ -77,7 +77,7 @@
     client = world.submit("q1")
     number, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("q1", "done", number, result="r")
+    world.send_callback("q1", "done", number, result="r")
     assert client.status() == 200
     world.wait_for_log("store_failing")
     assert world.metrics()["durable"]["failing"]
@@ -87,7 +87,7 @@
     path = put(world, "a3")  # its key is free, since a shed job is not run
     number, req_id, _ = accept(world)
     assert req_id == "a3"
-    world.tell(req_id, "done", number, result="r")
+    world.send_callback(req_id, "done", number, result="r")
     assert get(world, path)[1] == b"r"
     assert world.counters()["attempts_written"] == 2
 
@@ -108,7 +108,7 @@
     blocker.close()
     world.restart()
     assert get(world, path, prefer="")[0] == 202
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert get(world, path)[1] == b"r"
 
 
@@ -190,5 +190,5 @@
     )
     assert checked.returncode == 0, checked.stdout
     world.restart()
-    assert world.tell(req_id, "done", number, result="r", token=token) == 204
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert get(world, path)[1] == b"r"
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -127,7 +127,7 @@
         number, peer, (_, headers, _) = world.next_request()
         assert headers["req-id"] == "a1"
         peer.answer(202)
-        world.tell("a1", "done", number, result="r")
+        world.send_callback("a1", "done", number, result="r")
         client.send(job("a1", **ASYNC).replace(b"Prefer: respond-async\r\n", b""))
         assert client.read()[2] == b"r"
 
@@ -157,7 +157,9 @@
         for _ in names:
             number, peer, headers = take_job(world)
             peer.answer(202)
-            world.tell(headers["req-id"], "done", number, result="r", token=int(headers["lease-token"]))
+            world.send_callback(
+                headers["req-id"], "done", number, result="r", token=int(headers["lease-token"])
+            )
         for name in names:
             assert get(world, name)[0] == 200
 
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -34,8 +34,8 @@
     old.send_signal(signal.SIGTERM)
     held.wait_for_log("event=alone")
     old.wait()
-    assert held.tell(req_id, "done", number, result="one", token=token) == 204
-    assert held.tell(its_id, "done", other, result="two", token=its_token) == 204
+    assert held.send_callback(req_id, "done", number, result="one", token=token) == 204
+    assert held.send_callback(its_id, "done", other, result="two", token=its_token) == 204
     assert in_place.read()[2] == b"one" and watching.read()[2] == b"two"
     assert get(held, path)[1] == b"two"
     assert held.counters()["attempts_written"] == 0
@@ -49,7 +49,7 @@
     new.wait()
     held.process, held.operator = old, operator
     held.wait_for_log("taken_back")
-    assert held.tell(req_id, "done", number, result="r", token=token) == 204
+    assert held.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert put(held, "a2", prefer=None).read()[2] == b"r"
     client.close()
 
@@ -60,7 +60,7 @@
     refused = held.start(RELAY_OPERATOR=f"{HOST}:{free_port()}", CARTHINGE_FILE=str(other_file(held)))
     assert refused.wait(10) == 4
     held.wait_for_log("taken_back")
-    assert held.tell(req_id, "done", number, result="r", token=token) == 204
+    assert held.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert client.read()[2] == b"r"
 
 
@@ -103,7 +103,7 @@
                 peer.answer(202)
                 if line.startswith("POST"):
                     sent.append(headers["req-id"])
-                    held.tell(headers["req-id"], "done", number, result=headers["req-id"])
+                    held.send_callback(headers["req-id"], "done", number, result=headers["req-id"])
 
     threads = [threading.Thread(target=ask, args=(f"c{n}",)) for n in range(6)]
     worker = threading.Thread(target=work, daemon=True)
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -149,7 +149,7 @@
             number += 1
         assert client.status() == 503 and idle.metrics()["overload"]["shed_by_level"] == 1
         for world, name, client in open_jobs:
-            assert world.tell(name, "done", result="r") == 204
+            assert world.send_callback(name, "done", result="r") == 204
             assert client.status() == 200
         while figures(worlds[2])["level_most"]:
             assert time.monotonic() < until, [figures(world) for world in worlds]
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -35,7 +35,7 @@
             self.world.next_request()[1].answer(202)
             sent = re.findall(rf"event=attempt_sent id={prefix}{step} worker=s-(\d+)", self.world.log())
             used.add(int(sent[-1]))
-            assert self.world.tell(f"{prefix}{step}", "done", int(sent[-1]), result="r") == 204
+            assert self.world.send_callback(f"{prefix}{step}", "done", int(sent[-1]), result="r") == 204
             assert client.status() == 200
         return used
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -189,7 +189,7 @@
     number, peer, _ = world.next_request()
     assert world.by_hand("disable", world.names[number]) == 200
     peer.answer(202)
-    world.tell("a1", "done", number, result="r")
+    world.send_callback("a1", "done", number, result="r")
     assert client.read()[2] == b"r"
 
 
@@ -224,7 +224,7 @@
         client = world.submit(f"a{len(world.opened)}")
         number, peer, (_, headers, _) = world.next_request()
         peer.answer(202)
-        world.tell(headers["req-id"], "done", number)
+        world.send_callback(headers["req-id"], "done", number)
         assert client.status() == 200
         used[number] = peer
     assert world.by_hand("disable", "s-0") == 200
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -49,12 +49,12 @@
     number, peer, _ = world.next_request()
     peer.answer(202)
     reload_and_wait(world, changed_settings([REINDEX, {**CHARGE, "effect": "read_like"}, QUERY]))
-    world.tell("a1", "lost", number)
+    world.send_callback("a1", "lost", number)
     assert client.status() == 502
     repeated = world.submit("a2", kind="charge")  # by its new effect
     number, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("a2", "lost", number)
+    world.send_callback("a2", "lost", number)
     serve_next(world, "a2")
     assert repeated.status() == 200
 
@@ -66,13 +66,13 @@
         number, peer, _ = world.next_request()
         peer.answer(202)
         reload_and_wait(world, changed_settings(try_limit=after))
-        world.tell("a1", "lost", number)
+        world.send_callback("a1", "lost", number)
         assert client.status() == 503
         client = world.submit("a2")
         for _ in range(after):
             number, peer, _ = world.next_request()
             peer.answer(202)
-            world.tell("a2", "lost", number)
+            world.send_callback("a2", "lost", number)
         assert client.status() == 503
 
 
@@ -126,7 +126,7 @@
     client = world.submit("a1", kind="charge")
     number, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("a1", "lost", number)
+    world.send_callback("a1", "lost", number)
     assert client.status() == 502  # by the old effect
     assert world.connect().send(job("a2", kind="maybe")).status() == 400
 
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -14,8 +14,8 @@
     assert headers["req-id"] == "a1" and headers["idempotency-key"] == "k1"
     assert 4000 < int(headers["req-deadline"][:-1]) <= 5000
     peer.answer(202)
-    assert world.tell("a1", "started", number) == 204
-    assert world.tell("a1", "done", number, result="found \u00e9") == 204
+    assert world.send_callback("a1", "started", number) == 204
+    assert world.send_callback("a1", "done", number, result="found \u00e9") == 204
     first, _, result = client.read()
     assert first == "HTTP/1.1 200 OK" and result.decode() == "found \u00e9"
 
@@ -206,5 +206,5 @@
     peer.answer(202)
     text = "".join(map(chr, (0, 10, 34, 92, 0x20AC, 0x1F600)))
     assert json.loads(json.dumps(text)) == text
-    world.tell("a1", "done", number, result=text)
+    world.send_callback("a1", "done", number, result=text)
     assert client.read()[2].decode() == text
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -59,7 +59,7 @@
     second, peer, _ = world.next_request()
     peer.answer(202)
     assert world.counters()[counter] == 1
-    world.tell("a1", "done", second, result="second")
+    world.send_callback("a1", "done", second, result="second")
     assert client.status() == 200
 
 
@@ -96,7 +96,7 @@
     for _ in clients:
         number, peer, (_, headers, _) = world.next_request()
         peer.answer(202)
-        assert world.tell(headers["req-id"], "done", number) == 204
+        assert world.send_callback(headers["req-id"], "done", number) == 204
     assert [client.status() for client in clients] == [200, 200]
     assert world.counters()["attempt_connect_failed"] == 1
 
@@ -124,9 +124,9 @@
 def test_early_and_repeated_callbacks(world):
     client = world.submit("a1")
     number, peer, _ = world.next_request()
-    assert world.tell("a1", "done", number, result="early") == 204
+    assert world.send_callback("a1", "done", number, result="early") == 204
     assert client.read()[2] == b"early"
-    assert world.tell("a1", "done", number, result="again") == 204
+    assert world.send_callback("a1", "done", number, result="again") == 204
     peer.answer(202)
     counters = world.counters()
     assert (counters["served"], counters["job_events"], counters["job_events_stale"]) == (1, 2, 1)
@@ -135,7 +135,7 @@
 def test_missing_202_after_callback_frees_connection(world):
     world.submit("a1")
     number, peer, _ = world.next_request()
-    world.tell("a1", "done", number)
+    world.send_callback("a1", "done", number)
     assert peer.ended()
 
 
@@ -144,10 +144,10 @@
     first, _ = serve_next(world, "a1", state="lost")
     second, peer, _ = world.next_request()
     peer.answer(202)
-    assert world.tell("a1", "done", first, result="from the lost one") == 204
-    assert world.tell("a1", "done", second, result="from the right one") == 204
+    assert world.send_callback("a1", "done", first, result="from the lost one") == 204
+    assert world.send_callback("a1", "done", second, result="from the right one") == 204
     assert client.read()[2] == b"from the right one"
-    assert world.tell("unknown", "started") == 204
+    assert world.send_callback("unknown", "started") == 204
 
 
 def test_load_reports_reach_the_dispatcher(tmp_path):
@@ -157,7 +157,7 @@
         number, peer, _ = world.next_request()
         peer.answer(202)
         since = time.monotonic()
-        world.tell("a1", "done", number, load={"util": 1.0, "qps": 3.0, "x0": 0.0})
+        world.send_callback("a1", "done", number, load={"util": 1.0, "qps": 3.0, "x0": 0.0})
         world.submit("a2")
         assert peer.read()[1]["req-id"] == "a2"  # once the report is outdated
         assert time.monotonic() - since > 0.15
@@ -187,7 +187,7 @@
     second, peer, _ = world.next_request()
     assert second != first
     peer.answer(202)
-    world.tell("a1", "done", second)
+    world.send_callback("a1", "done", second)
     assert client.status() == 200 and world.counters()["attempt_cancelled"] == 1
 
 
@@ -199,7 +199,7 @@
     second, peer, (line, _, _) = world.next_request()
     assert second != first and line.startswith("POST")
     peer.answer(202)
-    world.tell("a1", "done", second)
+    world.send_callback("a1", "done", second)
     assert client.status() == 200
 
 
@@ -262,11 +262,11 @@
     peer.answer(202, Connection="close")
     world.wait_for_log("event=not_withdrawn")
     assert world.counters()["attempts"] == 1
-    world.tell("a1", "lost", first)
+    world.send_callback("a1", "lost", first)
     peer = world.accept(world.workers[0])
     assert peer.read()[0].startswith("POST")
     peer.answer(202)
-    world.tell("a1", "done", 1 - first)
+    world.send_callback("a1", "done", 1 - first)
     assert client.status() == 200
 
 
@@ -297,5 +297,5 @@
     peer.answer(202)
     assert client.status() == status
     assert peer.read()[0] == "DELETE /jobs/a1 HTTP/1.1"
-    assert world.tell("a1", "done", number, result="late") == 204
+    assert world.send_callback("a1", "done", number, result="late") == 204
     assert client.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200  # not the late result
--- a/tests/test_serve_ends.py
+++ b/tests/test_serve_ends.py
@@ -49,7 +49,7 @@
     second = kept.send(job("a2"))
     other, _ = serve_next(world, "a2")
     assert "connection" not in second.read()[1]
-    world.tell("a1", "done", 1 - other, result="r")
+    world.send_callback("a1", "done", 1 - other, result="r")
     assert first.status() == 200
     assert second.ended() and 2 < time.monotonic() - since < 3.3  # others may be restarting before
     assert world.process.wait(WAIT) == 0
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -179,7 +179,7 @@
             at, peer, _ = world.next_request()
             assert at == number
             peer.answer(202)
-            assert world.tell(name, "done", at, result="r") == 204
+            assert world.send_callback(name, "done", at, result="r") == 204
             assert client.status() == 200
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,9 @@
         client = world.submit(f"held{number}", kind="reindex", deadline="9000m", **more)
         at, peer, _ = world.next_request()
         peer.answer(202)
-        assert world.tell(f"held{number}", "started", at) == 204  # keeps the worker from being suspected
+        assert (
+            world.send_callback(f"held{number}", "started", at) == 204
+        )  # keeps the worker from being suspected
         held.append((client, at, f"held{number}"))
     world.counters()  # the 202s are read
     return held
@@ -70,7 +72,7 @@
         serve_next(world, f"b{number}")
         assert client.status() == 200
     client, at, name = busy
-    assert world.tell(name, "done", at, result="from the old one") == 204
+    assert world.send_callback(name, "done", at, result="from the old one") == 204
     assert client.read()[2] == b"from the old one"
     client.send(job("c1"))  # the connection was handed over after its answer
     serve_next(world, "c1")
@@ -87,10 +89,10 @@
     caller.send(b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % len(body))
     early = world.submit("early", kind="reindex")
     at, _, _ = world.next_request()  # without a 202 this job stays at the old process, too
-    world.tell("early", "started", at)
+    world.send_callback("early", "started", at)
     world.counters()  # the half callback is read
     world.upgrade()
-    assert world.tell("early", "done", at, result="y") == 204  # accepted by the new process
+    assert world.send_callback("early", "done", at, result="y") == 204  # accepted by the new process
     assert early.read()[2] == b"y"
     while True:  # until a job is at the worker that the half callback names
         client = world.submit("new")
@@ -98,7 +100,7 @@
         peer.answer(202)
         if at == 0:
             break
-        world.tell("new", "done", at)
+        world.send_callback("new", "done", at)
         client.status()
     world.counters()  # the 202 is read
     caller.send(body)
@@ -113,14 +115,14 @@
     charge = world.submit("charge", kind="charge", deadline="9000m")
     at, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("charge", "started", at)
+    world.send_callback("charge", "started", at)
     again = world.submit("again", kind="query", deadline="9000m")
     first, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("again", "lost", first)
+    world.send_callback("again", "lost", first)
     last, peer, _ = world.next_request()
     peer.answer(202)
-    world.tell("again", "started", last)
+    world.send_callback("again", "started", last)
     world.counters()  # the 202 is read
     old, _ = world.upgrade()
     wait_for_handover(world, 4)
@@ -129,11 +131,11 @@
     world.wait_for_log("event=alone")
     assert world.metrics()["in_flight"] == 4
     for client, worker, name in held:
-        assert world.tell(name, "done", worker, result=name) == 204
+        assert world.send_callback(name, "done", worker, result=name) == 204
         assert client.read()[2] == name.encode()
-    world.tell("charge", "lost", at)
+    world.send_callback("charge", "lost", at)
     assert charge.status() == 502  # it may have run
-    world.tell("again", "lost", last)
+    world.send_callback("again", "lost", last)
     assert first != last and again.status() == 503  # it has been at every worker already
     assert world.metrics()["in_flight"] == 0
 
@@ -148,7 +150,7 @@
         old.kill()
         assert old.wait(WAIT)
         for client, at, name in held:
-            world.tell(name, "done", at)
+            world.send_callback(name, "done", at)
             assert client.status() == 200
         serve_next(world, "waiting")
         assert waiting.status() == 200
@@ -279,12 +281,12 @@
 def test_old_process_killed_during_upgrade(world):
     client = world.submit("a1", kind="reindex")
     at, _, _ = world.next_request()  # without a 202 it cannot be handed over
-    world.tell("a1", "started", at)  # otherwise it would be tried at another worker soon
+    world.send_callback("a1", "started", at)  # otherwise it would be tried at another worker soon
     old, _ = world.upgrade()
     old.kill()
     old.wait()
     assert client.ended()
-    assert world.tell("a1", "done", at) == 204  # no process has the job any more
+    assert world.send_callback("a1", "done", at) == 204  # no process has the job any more
     assert serving_workers(world, "b", 6) == {0, 1}
     assert world.by_hand("disable", "s-0") == 200 and serving_workers(world, "c", 4) == {1}
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -286,7 +286,7 @@
         peer = self.accept(self.discovery)
         return peer, peer.read()[0]
 
-    def tell(self, req_id, state, worker=0, **more):
+    def send_callback(self, req_id, state, worker=0, **more):
         body = json.dumps({"id": req_id, "from": self.names[worker], "state": state, **more}).encode()
         head = f"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
         for _ in range(9):  # a worker repeats a callback until it gets an answer, at most ten times
@@ -347,5 +347,5 @@
     """Accept the next job at the worker that gets it, and report its end."""
     number, peer, _ = world.next_request()
     peer.answer(202)
-    assert world.tell(req_id, state, number, result=result) == 204
+    assert world.send_callback(req_id, state, number, result=result) == 204
     return number, peer
