--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,7 +25,7 @@
 
 
 def test_watch_continues_from_known_revision(world):
-    peer, line = world.watched()
+    peer, line = world.accept_watch()
     assert line.startswith("GET /discovery/hosts?index=7&wait=")
     peer.answer(200, list_body(9))
     assert peer.read()[0].startswith("GET /discovery/hosts?index=9&wait=")
@@ -34,7 +34,7 @@
 def test_new_worker_used_and_draining_one_not(world):
     world.workers.append(type(world.discovery)())
     world.names.append("s-new")
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     peer.answer(
         200,
         list_body(
@@ -50,7 +50,7 @@
 
 
 def test_list_arriving_byte_by_byte_is_read(world):
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     body = list_body(9)
     for byte in b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body:
         peer.send(bytes((byte,)))
@@ -59,7 +59,7 @@
 
 def test_moved_worker_is_reached_at_new_address(world):
     moved = type(world.discovery)()
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     peer.answer(200, list_body(8, member("s-0", moved.port), complete=True))
     peer.read()
     world.workers[0].close()
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("failure", ["status", "garbage", "reset", "broken off"])
 def test_failed_call_is_retried_and_list_kept(world, failure):
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     if failure == "status":
         peer.answer(503)
     elif failure == "garbage":
@@ -83,20 +83,20 @@
         assert peer.ended() and time.monotonic() - since < 1.5
     world.submit("a1")
     assert world.next_request()[2][1]["req-id"] == "a1"
-    assert world.watched()[1].startswith("GET /discovery/hosts?index=7")
+    assert world.accept_watch()[1].startswith("GET /discovery/hosts?index=7")
     assert world.counters()["watch_failures"] == 1 and "discovery_failed" in world.log()
 
 
 def test_silent_watch_times_out_within_seconds(world):
     """Guards against a connection that stays open without data, while jobs go to workers that have left."""
-    world.watched()
+    world.accept_watch()
     since = time.monotonic()
-    assert world.watched()[1].startswith("GET /discovery/hosts?index=7")
+    assert world.accept_watch()[1].startswith("GET /discovery/hosts?index=7")
     assert time.monotonic() - since < 6 and "no answer in time" in world.log()
 
 
 def test_sighup_moves_watch_and_keeps_list(world):
-    old, _ = world.watched()
+    old, _ = world.accept_watch()
     moved = Listener()
     world.reload(moved)
     peer = world.accept(moved)
@@ -109,11 +109,11 @@
     assert world.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")[0].endswith("503 Service Unavailable")
     peer.close()
     world.reload(world.discovery)  # move back
-    assert world.watched()[1] == "GET /discovery/hosts HTTP/1.1"
+    assert world.accept_watch()[1] == "GET /discovery/hosts HTTP/1.1"
 
 
 def test_new_discovery_is_asked_for_whole_list(world):
-    world.watched()
+    world.accept_watch()
     moved = Listener()
     world.reload(moved)
     world.accept(moved).answer(503)
@@ -121,7 +121,7 @@
 
 
 def test_unreadable_file_changes_nothing(world):
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     world.reload('{"name": "n0"')
     world.wait_for_log("reload_failed")
     peer.answer(200, list_body(9))
@@ -131,7 +131,7 @@
 def test_not_up_without_worker(tmp_path):
     with World(tmp_path, known=False) as world:
         assert world.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")[0].endswith("503 Service Unavailable")
-        peer, _ = world.watched()
+        peer, _ = world.accept_watch()
         peer.answer(200, list_body(8, member("s-0", world.workers[0].port), complete=True))
         peer.read()
         assert world.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")[0].endswith("200 OK")
@@ -154,7 +154,7 @@
         world.discovery = Listener()
         world.config["discovery"] = f"127.0.0.1:{world.discovery.port}"
         world.process = world.start()
-        peer, line = world.watched()
+        peer, line = world.accept_watch()
         assert line == "GET /discovery/hosts HTTP/1.1"
         with pytest.raises(ConnectionRefusedError):
             world.connect()
@@ -172,9 +172,9 @@
 
 def test_successor_requests_agent_list(tmp_path):
     with World(tmp_path, workers=2, settings=pushed(4_000_000), held=True) as world:
-        old = world.watched()[0]
+        old = world.accept_watch()[0]
         world.upgrade()
-        peer, line = world.watched()
+        peer, line = world.accept_watch()
         assert line == "GET /discovery/hosts HTTP/1.1"
         old.close()
         peer.answer(200, list_body(8, member("s-1", world.workers[1].port), complete=True))
@@ -188,13 +188,13 @@
     """An agent does not respond while discovery is down; changes it gets later count as known at once."""
     with World(tmp_path, settings=pushed(2_000_000)) as world:
         for _ in range(3):
-            peer, _ = world.watched()
+            peer, _ = world.accept_watch()
             since = time.monotonic()
             if failure == "reset":
                 peer.close()
             elif failure == "status":
                 peer.answer(503)
-        assert world.watched()[1].startswith("GET /discovery/hosts?index=7")
+        assert world.accept_watch()[1].startswith("GET /discovery/hosts?index=7")
         assert time.monotonic() - since < 2
         assert world.counters()["watch_failures"] < 9, "a busy loop"
         world.submit("a1")
@@ -210,7 +210,7 @@
     }
     with World(tmp_path, settings=asked) as world:
         world.reload(pushed(2_000_000))
-        assert world.watched()[1].startswith("GET /discovery/hosts?index=7&wait=500")
+        assert world.accept_watch()[1].startswith("GET /discovery/hosts?index=7&wait=500")
 
 
 def test_connecting_attempt_to_draining_worker_is_not_sent(tmp_path):
@@ -220,7 +220,7 @@
         for filler in fillers:  # fills the backlog: further connects stay pending
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        peer, _ = world.watched()
+        peer, _ = world.accept_watch()
         good, port = world.workers[0].port, full.getsockname()[1]
         peer.answer(200, list_body(8, member("s-1", port), complete=True))
         peer.read()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -43,7 +43,7 @@
 def test_large_fleet_is_listed_changed_and_restored(tmp_path):
     with World(tmp_path, settings=LARGE) as world:
         fleet = Fleet(world)
-        peer, _ = world.watched()
+        peer, _ = world.accept_watch()
         peer.answer(200, list_body(8, *fleet.members(), complete=True))
         peer.read()  # the next call: the answer has been applied
         assert world.metrics()["workers_known"] == COUNT and fleet.serve("a", 20)
@@ -62,7 +62,7 @@
 
 def test_watch_wait_is_capped(tmp_path):
     with World(tmp_path, settings={**LARGE, "instances": 5000, "position": 0}) as world:
-        assert world.watched()[1].split()[1].endswith("&wait=60000")
+        assert world.accept_watch()[1].split()[1].endswith("&wait=60000")
 
 
 def test_selection_does_not_scan_fleet(monkeypatch):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -32,7 +32,7 @@
 def test_ready_requires_known_worker(tmp_path):
     with World(tmp_path, known=False) as world:
         assert world.operate("/ready")[0] == 503
-        peer, _ = world.watched()
+        peer, _ = world.accept_watch()
         peer.answer(200, list_body(8, member("s-0", world.workers[0].port), complete=True))
         peer.read()
         assert world.operate("/ready")[0] == 200
@@ -139,7 +139,7 @@
 
 
 def test_metrics_count_listed_workers(world):
-    peer, _ = world.watched()
+    peer, _ = world.accept_watch()
     peer.answer(
         200,
         list_body(
@@ -195,7 +195,7 @@
 
 def test_exclusion_survives_list_updates(world):
     """A worker that leaves, returns or restarts in discovery stays excluded until an operator enables it."""
-    watch, _ = world.watched()
+    watch, _ = world.accept_watch()
     assert world.by_hand("disable", "s-0") == 200
     port = world.workers[0].port
     updates = [
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -174,7 +174,7 @@
 
 
 def test_new_process_continues_discovery_revision(world):
-    watch, _ = world.watched()
+    watch, _ = world.accept_watch()
     watch.answer(200, json.dumps({"revision": 31, "complete": False, "members": []}).encode())
     watch.read()
     world.upgrade()
--- a/tests/world.py
+++ b/tests/world.py
@@ -281,7 +281,7 @@
                     del self.kept[sock]
         raise AssertionError(f"no request came to a worker: {self.log()}")
 
-    def watched(self):
+    def accept_watch(self):
         """Accept a connection to discovery; return it and the start line of the first call on it."""
         peer = self.accept(self.discovery)
         return peer, peer.read()[0]
