--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -176,10 +176,10 @@
 
 def test_excluded_worker_gets_no_jobs(world):
     assert serving_workers(world, "a", 8) == {0, 1}
-    assert [world.by_hand("disable", "s-0") for _ in range(2)] == [200, 200]
+    assert [world.control_worker("disable", "s-0") for _ in range(2)] == [200, 200]
     assert world.metrics()["workers_excluded"] == 1
     assert serving_workers(world, "b", 8) == {1}
-    assert world.by_hand("enable", "s-0") == 200  # once is enough, although it was excluded twice
+    assert world.control_worker("enable", "s-0") == 200  # once is enough, although it was excluded twice
     assert world.metrics()["workers_excluded"] == 0
     assert serving_workers(world, "c", 12) == {0, 1}
 
@@ -187,7 +187,7 @@
 def test_running_job_finishes_at_excluded_worker(world):
     client = world.submit("a1")
     number, peer, _ = world.next_request()
-    assert world.by_hand("disable", world.names[number]) == 200
+    assert world.control_worker("disable", world.names[number]) == 200
     peer.answer(202)
     world.send_callback("a1", "done", number, result="r")
     assert client.read()[2] == b"r"
@@ -196,7 +196,7 @@
 def test_exclusion_survives_list_updates(world):
     """A worker that leaves, returns or restarts in discovery stays excluded until an operator enables it."""
     watch, _ = world.accept_watch()
-    assert world.by_hand("disable", "s-0") == 200
+    assert world.control_worker("disable", "s-0") == 200
     port = world.workers[0].port
     updates = [
         (member("s-0", port, phase="Gone"),),
@@ -207,14 +207,14 @@
         watch.answer(200, list_body(revision, *members))
         watch.read()
         if revision == 8:  # not listed: it can still be excluded or enabled, unlike other unlisted ids
-            assert world.by_hand("disable", "s-0") == 200
+            assert world.control_worker("disable", "s-0") == 200
             assert world.metrics()["workers_excluded"] == 0
     watch.answer(200, list_body(11, member("s-0", port), member("s-1", world.workers[1].port), complete=True))
     watch.read()
     world.reload(world.discovery)
     world.wait_for_log("event=reloaded")
     assert serving_workers(world, "a", 6) == {1}
-    assert world.by_hand("enable", "s-0") == 200
+    assert world.control_worker("enable", "s-0") == 200
 
 
 def test_exclusion_closes_idle_connections(world):
@@ -227,7 +227,7 @@
         world.send_callback(headers["req-id"], "done", number)
         assert client.status() == 200
         used[number] = peer
-    assert world.by_hand("disable", "s-0") == 200
+    assert world.control_worker("disable", "s-0") == 200
     assert used[0].ended()
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -158,16 +158,16 @@
 
 def test_exclusions_shared_between_processes(world):
     serving_workers(world, "a", 4)
-    assert world.by_hand("disable", "s-0") == 200
+    assert world.control_worker("disable", "s-0") == 200
     _, before = world.upgrade()
     after = world.operator
     assert serving_workers(world, "b", 6) == {1}
     assert world.metrics()["workers_excluded"] == 1
     world.operator = before
-    assert world.by_hand("enable", "s-0") == 200 and world.by_hand("enable", "nobody") == 404
+    assert world.control_worker("enable", "s-0") == 200 and world.control_worker("enable", "nobody") == 404
     assert serving_workers(world, "c", 12) == {0, 1}
     world.operator = after
-    assert world.by_hand("disable", "s-1") == 200
+    assert world.control_worker("disable", "s-1") == 200
     world.operator = before
     assert world.metrics()["workers_excluded"] == 1
     assert serving_workers(world, "d", 6) == {0}
@@ -288,7 +288,7 @@
     assert client.ended()
     assert world.send_callback("a1", "done", at) == 204  # no process has the job any more
     assert serving_workers(world, "b", 6) == {0, 1}
-    assert world.by_hand("disable", "s-0") == 200 and serving_workers(world, "c", 4) == {1}
+    assert world.control_worker("disable", "s-0") == 200 and serving_workers(world, "c", 4) == {1}
 
 
 def test_new_process_killed_after_upgrade(world):
--- a/tests/world.py
+++ b/tests/world.py
@@ -309,7 +309,7 @@
         first, _, body = self.call().send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).read()
         return int(first.split()[1]), body
 
-    def by_hand(self, verb, who):
+    def control_worker(self, verb, who):
         return self.operate(f"/workers/{verb}?who={who}", "POST")[0]
 
     def metrics(self):
