--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -60,16 +60,16 @@
 
 
 def test_bytewise_call_accepted_garbage_rejected(world):
-    caller = world.call()
+    caller = world.connect_operator()
     for byte in b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n":
         caller.send(bytes((byte,)))
     assert caller.status() == 200 and caller.ended()  # one call per connection
-    assert world.call().send(b"\x16\x03\x01\r\n\r\n").status() == 400
+    assert world.connect_operator().send(b"\x16\x03\x01\r\n\r\n").status() == 400
 
 
 def test_silent_callers_disconnected(world):
     """Silent callers could otherwise hold all of the few connections for seconds."""
-    silent = [world.call().send(b"GET /re") for _ in range(40)]
+    silent = [world.connect_operator().send(b"GET /re") for _ in range(40)]
     start = time.monotonic()
     assert world.operate("/ready")[0] == 200 and time.monotonic() - start < 0.5
     assert silent[0].ended() and silent[-1].ended()
--- a/tests/world.py
+++ b/tests/world.py
@@ -298,7 +298,7 @@
     def counters(self):
         return json.loads(self.ask("GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")[2])
 
-    def call(self):
+    def connect_operator(self):
         """Connect to the operator address."""
         peer = Peer(socket.create_connection((HOST, self.operator), WAIT))
         self.opened.append(peer)
@@ -306,7 +306,9 @@
 
     def operate(self, path, method="GET"):
         """Send a request to the operator address; return the status and the body of its answer."""
-        first, _, body = self.call().send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).read()
+        first, _, body = (
+            self.connect_operator().send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).read()
+        )
         return int(first.split()[1]), body
 
     def control_worker(self, verb, who):
