--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -31,14 +31,14 @@
 
 def test_ready_requires_known_worker(tmp_path):
     with World(tmp_path, known=False) as world:
-        assert world.operate("/ready")[0] == 503
+        assert world.operator_request("/ready")[0] == 503
         peer, _ = world.accept_watch()
         peer.answer(200, list_body(8, member("s-0", world.workers[0].port), complete=True))
         peer.read()
-        assert world.operate("/ready")[0] == 200
+        assert world.operator_request("/ready")[0] == 200
         world.terminate()
         world.wait_for_log("draining")
-        assert world.operate("/ready")[0] == 503
+        assert world.operator_request("/ready")[0] == 503
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     ],
 )
 def test_invalid_calls_rejected(world, method, path, status):
-    assert world.operate(path, method)[0] == status
+    assert world.operator_request(path, method)[0] == status
     assert world.metrics()["workers_excluded"] == 0
 
 
@@ -71,7 +71,7 @@
     """Silent callers could otherwise hold all of the few connections for seconds."""
     silent = [world.connect_operator().send(b"GET /re") for _ in range(40)]
     start = time.monotonic()
-    assert world.operate("/ready")[0] == 200 and time.monotonic() - start < 0.5
+    assert world.operator_request("/ready")[0] == 200 and time.monotonic() - start < 0.5
     assert silent[0].ended() and silent[-1].ended()
     assert 4 < time.monotonic() - start < 8
 
@@ -81,10 +81,10 @@
         clients = []
         for number in range(40):  # more than there are slots, each with a request in progress
             clients.append(world.submit(f"a{number}"))
-            world.operate("/ready")  # the request is read, so its connection is not closed as silent
+            world.operator_request("/ready")  # the request is read, so its connection is not closed as silent
         assert clients[-1].status() == 503
         start = time.monotonic()
-        assert world.operate("/ready")[0] == 200 and time.monotonic() - start < 1
+        assert world.operator_request("/ready")[0] == 200 and time.monotonic() - start < 1
 
 
 # ---- metrics ------------------------------------------------------------------------------------
@@ -232,7 +232,7 @@
 
 
 def test_metrics_valid_json(world):
-    body = world.operate("/metrics")[1]
+    body = world.operator_request("/metrics")[1]
     assert json.loads(body) and body.count(b'"served"') == 1
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -223,7 +223,7 @@
         deadline = time.monotonic() + WAIT
         while time.monotonic() < deadline:
             with contextlib.suppress(ConnectionRefusedError):
-                if self.operate("/ready")[0] == 200:
+                if self.operator_request("/ready")[0] == 200:
                     return
             time.sleep(0.01)  # nothing signals that a process listens
         raise AssertionError(f"not ready: {self.log()}")
@@ -304,7 +304,7 @@
         self.opened.append(peer)
         return peer
 
-    def operate(self, path, method="GET"):
+    def operator_request(self, path, method="GET"):
         """Send a request to the operator address; return the status and the body of its answer."""
         first, _, body = (
             self.connect_operator().send(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).read()
@@ -312,10 +312,10 @@
         return int(first.split()[1]), body
 
     def control_worker(self, verb, who):
-        return self.operate(f"/workers/{verb}?who={who}", "POST")[0]
+        return self.operator_request(f"/workers/{verb}?who={who}", "POST")[0]
 
     def metrics(self):
-        return json.loads(self.operate("/metrics")[1])
+        return json.loads(self.operator_request("/metrics")[1])
 
     def reload(self, discovery):
         """Replace the configuration's discovery, its settings (a dict) or all of it (a str); send SIGHUP."""
