--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -141,7 +141,9 @@
         idle, number = worlds[2], 0
         while True:  # some are always accepted, and served at once, so that its own level stays low
             client = idle.submit(f"b{number}", deadline="600000m")
-            ready, _, _ = select.select([client.sock, idle.workers[0].sock, *idle.kept], [], [], WAIT)
+            ready, _, _ = select.select(
+                [client.sock, idle.workers[0].sock, *idle.worker_connections], [], [], WAIT
+            )
             if client.sock in ready:
                 break
             serve_next(idle, f"b{number}")
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -212,7 +212,7 @@
     for _ in range(2):
         worker, peer, (line, _, _) = world.next_request()
         assert (worker, line) == (first, "DELETE /jobs/a1 HTTP/1.1")
-        del world.kept[peer.sock]
+        del world.worker_connections[peer.sock]
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # a reset
         peer.close()
     expect_withdrawal_and_retry(world, client, first)
@@ -276,7 +276,7 @@
     worker, peer, _ = world.next_request()
     client.close()
     assert peer.ended()
-    del world.kept[peer.sock]
+    del world.worker_connections[peer.sock]
     same_worker, peer, (line, _, _) = world.next_request()
     assert (same_worker, line) == (worker, "DELETE /jobs/a1 HTTP/1.1")
     peer.answer(204)
--- a/tests/world.py
+++ b/tests/world.py
@@ -149,7 +149,7 @@
         self.workers = [Listener() for _ in range(workers)]
         self.names = [f"s-{number}" for number in range(workers)]
         self.opened = []
-        self.kept = {}  # accepted sockets of workers: the worker's number and the connection
+        self.worker_connections = {}  # accepted sockets of workers: the worker's number and the connection
         zones = (settings or SETTINGS)["zones"] or ["hall"]
         members = [
             member(name, worker.port, zone=zones[number % len(zones)], cell=number % len(zones))
@@ -269,16 +269,16 @@
         deadline = time.monotonic() + WAIT
         while time.monotonic() < deadline:
             listeners = {worker.sock: number for number, worker in enumerate(self.workers)}
-            ready = wait_readable([*listeners, *self.kept])
+            ready = wait_readable([*listeners, *self.worker_connections])
             for sock in ready:
                 if sock in listeners:
                     peer = self.accept(self.workers[listeners[sock]])
-                    self.kept[peer.sock] = (listeners[sock], peer)
+                    self.worker_connections[peer.sock] = (listeners[sock], peer)
                 else:
-                    number, peer = self.kept[sock]
+                    number, peer = self.worker_connections[sock]
                     with contextlib.suppress(EOFError, ConnectionResetError):
                         return number, peer, peer.read()
-                    del self.kept[sock]
+                    del self.worker_connections[sock]
         raise AssertionError(f"no request came to a worker: {self.log()}")
 
     def accept_watch(self):
