--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -221,7 +221,7 @@
     """The worker may be restarted meanwhile: a request on an old connection would be lost."""
     used = {}
     while len(used) < 2:
-        client = world.submit(f"a{len(world.opened)}")
+        client = world.submit(f"a{len(world.peers)}")
         number, peer, (_, headers, _) = world.next_request()
         peer.answer(202)
         world.send_callback(headers["req-id"], "done", number)
--- a/tests/world.py
+++ b/tests/world.py
@@ -148,7 +148,7 @@
         self.discovery = Listener()
         self.workers = [Listener() for _ in range(workers)]
         self.names = [f"s-{number}" for number in range(workers)]
-        self.opened = []
+        self.peers = []
         self.worker_connections = {}  # accepted sockets of workers: the worker's number and the connection
         zones = (settings or SETTINGS)["zones"] or ["hall"]
         members = [
@@ -235,7 +235,7 @@
         for process in self.processes:
             process.kill()
             process.wait()
-        for peer in [*self.opened, *self.workers, self.discovery, *([self.held] if self.held else [])]:
+        for peer in [*self.peers, *self.workers, self.discovery, *([self.held] if self.held else [])]:
             peer.close()
 
     def wait_until_up(self):
@@ -250,7 +250,7 @@
 
     def connect(self):
         peer = Peer(socket.create_connection((HOST, self.port), WAIT))
-        self.opened.append(peer)
+        self.peers.append(peer)
         return peer
 
     def ask(self, text):
@@ -261,7 +261,7 @@
 
     def accept(self, listener):
         peer = listener.accept()
-        self.opened.append(peer)
+        self.peers.append(peer)
         return peer
 
     def next_request(self):
@@ -301,7 +301,7 @@
     def connect_operator(self):
         """Connect to the operator address."""
         peer = Peer(socket.create_connection((HOST, self.operator), WAIT))
-        self.opened.append(peer)
+        self.peers.append(peer)
         return peer
 
     def operator_request(self, path, method="GET"):
