--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -206,7 +206,7 @@
                 if line.startswith("DELETE"):
                     continue
                 event = json.dumps({"id": headers["req-id"], "from": name, "state": "done"}).encode()
-                with socket.create_connection((world.held.getsockname()), WAIT) as back:
+                with socket.create_connection((world.listening_socket.getsockname()), WAIT) as back:
                     back.sendall(
                         b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
                         % (len(event), event)
--- a/tests/world.py
+++ b/tests/world.py
@@ -144,7 +144,7 @@
         ``file``: the text of the operator's file; ``{folder}`` in it stands for the store's folder.
         """
         self.port, self.operator = free_ports(2)
-        self.held = socket.create_server((HOST, self.port), backlog=1024) if held else None
+        self.listening_socket = socket.create_server((HOST, self.port), backlog=1024) if held else None
         self.discovery = Listener()
         self.workers = [Listener() for _ in range(workers)]
         self.names = [f"s-{number}" for number in range(workers)]
@@ -189,11 +189,14 @@
             "CARTHINGE_FILE": str(self.file_path),
             **environment,
         }
-        if self.held is not None:
-            environment["RELAY_FD"] = str(self.held.fileno())
+        if self.listening_socket is not None:
+            environment["RELAY_FD"] = str(self.listening_socket.fileno())
         with self.log_path.open("ab") as log:
             process = subprocess.Popen(
-                command, env=environment, stderr=log, pass_fds=[self.held.fileno()] if self.held else []
+                command,
+                env=environment,
+                stderr=log,
+                pass_fds=[self.listening_socket.fileno()] if self.listening_socket else [],
             )
         self.processes.append(process)
         return process
@@ -235,7 +238,12 @@
         for process in self.processes:
             process.kill()
             process.wait()
-        for peer in [*self.peers, *self.workers, self.discovery, *([self.held] if self.held else [])]:
+        for peer in [
+            *self.peers,
+            *self.workers,
+            self.discovery,
+            *([self.listening_socket] if self.listening_socket else []),
+        ]:
             peer.close()
 
     def wait_until_up(self):
