--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -251,7 +251,7 @@
     failing = world.start(RELAY_OPERATOR=f"192.0.2.1:{world.operator}")  # not an address of this machine
     assert failing.wait(WAIT) == 3
     dying_process = socket.socket(socket.AF_UNIX)
-    dying_process.connect(str(next(world.temporary.iterdir())))
+    dying_process.connect(str(next(world.temporary_folder.iterdir())))
     hello = msgspec.msgpack.encode({"type": "Hello", "format": FORMAT})
     dying_process.send(len(hello).to_bytes(4, "big") + hello)
     dying_process.close()  # asks to take over, then dies
@@ -264,7 +264,7 @@
     """A new process must serve within 6 s even if the old one died or does not respond on its socket."""
     world.process.kill()
     world.process.wait()
-    path = next(world.temporary.iterdir())
+    path = next(world.temporary_folder.iterdir())
     assert world.upgrade() and serving_workers(world, "a", 4) == {0, 1}
     world.process.kill()
     world.process.wait()
--- a/tests/world.py
+++ b/tests/world.py
@@ -172,8 +172,8 @@
         self.file_path, self.store = tmp_path / "carthinge.toml", tmp_path / "store"
         self.file_path.write_text((file or "").replace("{folder}", str(self.store)))
         self.log_path = tmp_path / "log"
-        self.temporary = tmp_path / "tmp"
-        self.temporary.mkdir()
+        self.temporary_folder = tmp_path / "tmp"
+        self.temporary_folder.mkdir()
         self.processes = []
         self.process = self.start()
         self.wait_until_up()
@@ -184,7 +184,7 @@
         environment = {
             **os.environ,
             "RELAY_CONFIG": str(self.config_path),
-            "TMPDIR": str(self.temporary),
+            "TMPDIR": str(self.temporary_folder),
             "RELAY_DISCOVERY": self.config["discovery"],
             "CARTHINGE_FILE": str(self.file_path),
             **environment,
