--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -9,7 +9,7 @@
 import pytest
 from faults import advance_clock, inject_faults
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, readable, run_until, set_workers
-from world import Listener, altered, job, member
+from world import Listener, job, member, settings_with_caps
 
 
 def test_client_left_before_read_not_sent(serve, dial, worker):
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_client_left_during_connect_not_sent(serve, dial, worker, cancel):
     """Where settings allow no withdrawals, the attempt was sent as soon as its connection was up."""
-    program = serve(settings=altered(cancel=cancel))
+    program = serve(settings=settings_with_caps(cancel=cancel))
     set_workers(program, member("s-0", worker.port))
     sockets = inject_faults(program)
     client = dial(program).send(job("a1"))
@@ -54,7 +54,7 @@
 
 
 def test_waiting_attempt_ends_with_its_client(serve, dial):
-    program = serve(settings=altered(cancel=False))
+    program = serve(settings=settings_with_caps(cancel=False))
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         fill_sockets = [socket.socket() for _ in range(4)]
         for fill_socket in fill_sockets:  # a full backlog: no further connection comes up
@@ -72,7 +72,7 @@
 
 def test_client_left_while_queued_not_sent(serve, dial, worker):
     """The client leaves too late for its close to be seen in this turn, but before the decision to send."""
-    program = serve(settings={**altered(), "load_info": {"how": "off", "fields": []}})
+    program = serve(settings={**settings_with_caps(), "load_info": {"how": "off", "fields": []}})
     set_workers(program, member("s-0", worker.port))
     first = dial(program).send(job("a1", kind="charge"))
     peer = accept_next(worker, program)
@@ -181,9 +181,9 @@
     """The connection came up after the window in which workers drop jobs that they have already run."""
     services = [
         {**spec, "window": 1_000_000} if spec["effect"] == "idempotency_key" else spec
-        for spec in altered()["services"]
+        for spec in settings_with_caps()["services"]
     ]
-    program = serve(settings={**altered(dial_timeout=900_000), "services": services})
+    program = serve(settings={**settings_with_caps(dial_timeout=900_000), "services": services})
     set_workers(program, member("s-0", worker.port), member("s-1", worker.port))
     program.watch.stop()
     program.tracker.watch = lambda: None  # the slow connect must not be that of discovery
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -11,7 +11,7 @@
 import pytest
 from relay import Relay
 from test_serve import serve_next
-from world import HOST, SETTINGS, WAIT, World, altered, free_port
+from world import HOST, SETTINGS, WAIT, World, free_port, settings_with_caps
 
 from carthinge import Dispatcher
 from carthinge import interface as io
@@ -124,7 +124,7 @@
 def test_overload_at_two_makes_idle_third_shed(tmp_path):
     """Jobs that no worker starts raise the level at two members; the agreed level makes the third shed."""
     query = {**SETTINGS["services"][0], "late_worth": 0.0, "hard_limit": 600_000_000}
-    overloaded_settings = {**altered(try_limit=1), "services": [query, *SETTINGS["services"][1:]]}
+    overloaded_settings = {**settings_with_caps(try_limit=1), "services": [query, *SETTINGS["services"][1:]]}
     with fleet(
         tmp_path, Relay(3, seed=9, loss=0.05, twice=0.1), workers=1, settings=overloaded_settings
     ) as worlds:
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from world import World, altered, job, serve_next
+from world import World, job, serve_next, settings_with_caps
 
 # ---- attempts and how they end ------------------------------------------------------------------
 
@@ -21,7 +21,7 @@
 
 
 def test_idle_connection_closed_before_worker_does(tmp_path):
-    with World(tmp_path, settings=altered(idle_close=800_000)) as world:
+    with World(tmp_path, settings=settings_with_caps(idle_close=800_000)) as world:
         world.submit("a1")
         _, peer = serve_next(world, "a1")
         since = time.monotonic()
@@ -284,7 +284,7 @@
 
 
 def test_retry_after_stays_within_limit(tmp_path):
-    with World(tmp_path, known=False, settings=altered(max_retry_after=1_500_000)) as world:
+    with World(tmp_path, known=False, settings=settings_with_caps(max_retry_after=1_500_000)) as world:
         first, headers, _ = world.submit("a1").read()
         assert first.startswith("HTTP/1.1 503 ") and 0.75 <= float(headers["retry-after"]) <= 1.5
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -349,7 +349,7 @@
         return self.log_path.read_text()
 
 
-def altered(**caps):
+def settings_with_caps(**caps):
     return {**SETTINGS, "caps": {**SETTINGS["caps"], **caps}}
 
 
