--- a/tests/relay.py
+++ b/tests/relay.py
@@ -14,9 +14,9 @@
 class Relay:
     """Each scheduler listens at its own address and advertises one of the relay's to the others."""
 
-    def __init__(self, count, seed=1, loss=0.0, twice=0.0, delay=0.0):
+    def __init__(self, count, seed=1, loss=0.0, duplication=0.0, delay=0.0):
         """``delay``: the maximum, in seconds; delays differ, so that datagrams are reordered."""
-        self.fault_rates = (loss, twice, delay)
+        self.fault_rates = (loss, duplication, delay)
         self.relay_sockets = [self._bound() for _ in range(count)]
         bound = [self._bound() for _ in range(count)]
         self.homes = [sock.getsockname() for sock in bound]
@@ -59,7 +59,7 @@
 
     def _run(self):
         while not self._stopped:
-            loss, twice, delay = self.fault_rates
+            loss, duplication, delay = self.fault_rates
             wait = min(0.05, max(0.0, self._delayed[0][0] - time.monotonic())) if self._delayed else 0.05
             for sock in select.select(self.relay_sockets, [], [], wait)[0]:
                 data, source = sock.recvfrom(2048)
@@ -67,7 +67,7 @@
                 sender = self.homes.index(source) if source in self.homes else None
                 if (sender, to) in self.cuts:
                     continue
-                for _ in range(1 + (self._rng.random() < twice)):
+                for _ in range(1 + (self._rng.random() < duplication)):
                     if self._rng.random() >= loss:
                         due = time.monotonic() + self._rng.random() * delay
                         heappush(self._delayed, (due, self._rng.random(), to, data))
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -50,7 +50,7 @@
 
 
 def test_killed_member_is_dead_until_restart(tmp_path):
-    with fleet(tmp_path, Relay(3, seed=5, loss=0.1, twice=0.2, delay=0.02)) as worlds:
+    with fleet(tmp_path, Relay(3, seed=5, loss=0.1, duplication=0.2, delay=0.02)) as worlds:
         worlds[2].kill()
         for world in worlds[:2]:
             wait_for(world, members_dead=1)
@@ -61,7 +61,7 @@
 
 
 def test_stopped_member_is_dead_until_continued(tmp_path):
-    with fleet(tmp_path, Relay(3, seed=6, twice=0.1)) as worlds:
+    with fleet(tmp_path, Relay(3, seed=6, duplication=0.1)) as worlds:
         worlds[0].process.send_signal(signal.SIGSTOP)
         for world in worlds[1:]:
             wait_for(world, members_dead=1)
@@ -126,7 +126,7 @@
     query = {**SETTINGS["services"][0], "late_worth": 0.0, "hard_limit": 600_000_000}
     overloaded_settings = {**settings_with_caps(try_limit=1), "services": [query, *SETTINGS["services"][1:]]}
     with fleet(
-        tmp_path, Relay(3, seed=9, loss=0.05, twice=0.1), workers=1, settings=overloaded_settings
+        tmp_path, Relay(3, seed=9, loss=0.05, duplication=0.1), workers=1, settings=overloaded_settings
     ) as worlds:
         open_jobs = []
         for world in worlds[:2]:
