--- a/tests/relay.py
+++ b/tests/relay.py
@@ -19,7 +19,7 @@
         self.fault_rates = (loss, duplication, delay)
         self.relay_sockets = [self._bound() for _ in range(count)]
         bound = [self._bound() for _ in range(count)]
-        self.homes = [sock.getsockname() for sock in bound]
+        self.scheduler_addresses = [sock.getsockname() for sock in bound]
         for sock in bound:
             sock.close()
         self.cuts = set()  # pairs (sender, receiver) of scheduler numbers between which nothing is passed on
@@ -38,7 +38,7 @@
     def file(self, number, period=0.1, key_file=""):
         """Return the text of that scheduler's operator file."""
         addresses = ["{}:{}".format(*sock.getsockname()) for sock in self.relay_sockets]
-        home = "{}:{}".format(*self.homes[number])
+        home = "{}:{}".format(*self.scheduler_addresses[number])
         return (
             f"[fleet]\nlisten = '{home}'\nadvertise = '{addresses[number]}'\nmembers = {addresses}\n"
             f"period = {period}\nkey_file = '{key_file}'\n"
@@ -64,7 +64,9 @@
             for sock in select.select(self.relay_sockets, [], [], wait)[0]:
                 data, source = sock.recvfrom(2048)
                 to = self.relay_sockets.index(sock)
-                sender = self.homes.index(source) if source in self.homes else None
+                sender = (
+                    self.scheduler_addresses.index(source) if source in self.scheduler_addresses else None
+                )
                 if (sender, to) in self.cuts:
                     continue
                 for _ in range(1 + (self._rng.random() < duplication)):
@@ -74,5 +76,5 @@
             while self._delayed and self._delayed[0][0] <= time.monotonic():
                 _, _, to, data = heappop(self._delayed)
                 with contextlib.suppress(ConnectionRefusedError):
-                    self.relay_sockets[to].sendto(data, self.homes[to])
+                    self.relay_sockets[to].sendto(data, self.scheduler_addresses[to])
                 self.passed += 1
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -24,7 +24,7 @@
     with contextlib.ExitStack() as stack:
         stack.enter_context(relay)
         worlds = []
-        for number in range(len(relay.homes)):
+        for number in range(len(relay.scheduler_addresses)):
             folder = tmp_path / f"n{number}"
             folder.mkdir()
             worlds.append(
@@ -171,7 +171,7 @@
 
         unauthenticated = encode(Packet(PacketKind.PING, "stranger", f"{HOST}:9", 1), b"")
         for data in (b"", b"\0" * 5000, b"c1" + b"\xff" * 40, unauthenticated, bytes(16) + unauthenticated):
-            stranger.sendto(data, relay.homes[0])
+            stranger.sendto(data, relay.scheduler_addresses[0])
         until = time.monotonic() + WAIT
         while figures(worlds[0])["bad"] < 5:
             assert time.monotonic() < until
