--- a/tests/relay.py
+++ b/tests/relay.py
@@ -35,7 +35,7 @@
         sock.bind((HOST, 0))
         return sock
 
-    def file(self, number, period=0.1, key_file=""):
+    def operator_file(self, number, period=0.1, key_file=""):
         """Return the text of that scheduler's operator file."""
         addresses = ["{}:{}".format(*sock.getsockname()) for sock in self.relay_sockets]
         home = "{}:{}".format(*self.scheduler_addresses[number])
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -29,7 +29,9 @@
             folder.mkdir()
             worlds.append(
                 stack.enter_context(
-                    World(folder, name=f"n{number}", file=relay.file(number, period, key_file), **more)
+                    World(
+                        folder, name=f"n{number}", file=relay.operator_file(number, period, key_file), **more
+                    )
                 )
             )
         for world in worlds:
