--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -14,6 +14,7 @@
 
 from carthinge.fleet.retry_after import compute_retry_after
 from carthinge.front.callbacks import CALLBACK_PATH, NO_ANSWER
+from carthinge.front.connection_state import ConnectionState
 from carthinge.front.frontend_protocol import FrontendProtocol
 from carthinge.front.head_of_line import HeadOfLineTimer
 from carthinge.front.read_timer import ReadTimer
@@ -21,7 +22,7 @@
 from carthinge.net import log
 from carthinge.net.channel import Waiting
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.http import CONTINUE, BadRequestError, Request, RequestReader, answer_bytes, call_bytes
+from carthinge.net.http import CONTINUE, BadRequestError, Request, RequestReader, answer_bytes
 from carthinge.net.loop import MICROSECOND, MILLISECOND
 from carthinge.net.stream import Stream
 from carthinge.net.tracked_request import TrackedRequest
@@ -34,7 +35,7 @@
 MAX_WAITING_SHARE: Final = 0.75  # of all slots; worker callbacks, without which no job ends, need the rest
 
 
-class ClientConnection:
+class ClientConnection(ConnectionState):
     """A connection of a client or of a worker that calls back.  Answers go out in the order of requests."""
 
     def __init__(
@@ -59,51 +60,6 @@
         self._accepted = frontend.loop.now
         self._stream = Stream(frontend.loop, sock, self)
 
-    def idle(self) -> bool:
-        """Whether no request is being read, handled or answered."""
-        return not (
-            self._current or self._waiting or self._reader.in_message or self._finished or self._stream.unsent
-        )
-
-    def silent(self) -> bool:
-        """Whether there is nothing to read or to send."""
-        return not self._stream.unsent and self._stream.input_empty()
-
-    def has_partial_request(self) -> bool:
-        """Whether a request has been read in part."""
-        return self._reader.in_message
-
-    def has_left(self) -> bool:
-        """Whether the client has closed the connection."""
-        return self._stream.closed_by_peer()
-
-    def awaits_answer(self) -> bool:
-        """Whether the client waits for an answer and has sent nothing more."""
-        return not (
-            self._current is None
-            or self._waiting
-            or self._reader.in_message
-            or self._finished
-            or self._stream.unsent
-        )
-
-    def keep_alive(self) -> bool:
-        """Whether the client of the current request wants the connection kept."""
-        return self._current is not None and self._current.keep_alive
-
-    def deferred_arrival(self) -> timedelta:
-        """Return the arrival time of the deferred request, from which its deadline runs."""
-        assert self._current is not None
-        return self._current.received_at
-
-    def deferred_requests(self) -> bytes:
-        """Return the deferred requests, encoded again."""
-        requests = [self._current, *self._waiting] if self._current is not None else []
-        return b"".join(
-            call_bytes(request.method.decode(), request.target, "", _unframed(request.headers), request.body)
-            for request in requests
-        )
-
     def waiting_job(self) -> Waiting | None:
         """Return the durable job that the client waits for, if another process has that job."""
         job_call = self._job_call
@@ -399,9 +355,3 @@
             self._frontend.loop.call_soon(self._handle_next)
         else:
             self._send_continue()
-
-
-def _unframed(headers: dict[bytes, bytes]) -> list[tuple[str, bytes]]:
-    """Return the headers without those of the framing, which is generated again."""
-    framing = (b"host", b"content-length", b"transfer-encoding", b"expect")
-    return [(name.decode("latin-1"), value) for name, value in headers.items() if name not in framing]
