--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -12,7 +12,6 @@
 from datetime import timedelta
 from functools import partial
 from pathlib import Path
-from types import FrameType
 from typing import TYPE_CHECKING, Any, Final
 
 from carthinge.front.frontend import Frontend
@@ -26,7 +25,7 @@
 from carthinge.net.discovery import DiscoveryWatch
 from carthinge.net.http import Address
 from carthinge.net.listener import bind
-from carthinge.net.loop import MICROSECOND, READ, Loop
+from carthinge.net.loop import MICROSECOND, Loop
 from carthinge.net.probes import Probes
 from carthinge.net.request_tracker import RequestTracker
 from carthinge.net.tracked_request import Terms
@@ -34,6 +33,7 @@
 from carthinge.net.worker_directory import WorkerDirectory, worker_number
 from carthinge.policy import Dispatcher
 from carthinge.scheduler.handover_peer import HandoverPeer
+from carthinge.scheduler.signal_handlers import install_signal_handlers
 from carthinge.scheduler.upgrade import Upgrade
 from carthinge.settings import positions
 
@@ -161,7 +161,7 @@
 
         Raises OSError if it cannot listen, StoreError if the store of durable jobs cannot be used.
         """
-        self._install_signal_handlers()
+        self._wake = install_signal_handlers(self.loop, self._handle_signals)
         if self.config.operator is not None:
             self.operator = Operator(self.loop, self.config.operator, self, self.counters)
         limits = self.config.limits
@@ -300,17 +300,6 @@
 
     # ---- signals --------------------------------------------------------------------------
 
-    def _install_signal_handlers(self) -> None:
-        """Receive signals as bytes on a socket, so that the event loop handles them in a turn."""
-        wake_in, wake_out = socket.socketpair()
-        wake_in.setblocking(False)
-        wake_out.setblocking(False)
-        signal.set_wakeup_fd(wake_out.fileno())
-        self._wake = (wake_in, wake_out)
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
-            signal.signal(number, _ignore)
-        self.loop.register(wake_in, READ, lambda _: self._handle_signals(wake_in.recv(64)))
-
     def _handle_signals(self, numbers: bytes) -> None:
         if signal.SIGUSR1 in numbers:
             log.logger().info("counters", **self.counters.as_dict())
@@ -397,7 +386,3 @@
             self._finished = True
             return
         self.loop.call_after(timedelta(milliseconds=50), self._check_drained)
-
-
-def _ignore(number: int, frame: FrameType | None) -> None:
-    """Do nothing: the wake-up socket has received the signal already."""
