--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -1,7 +1,7 @@
 """Runs dispatchers for the simulator, over stdin and stdout: ``python -m carthinge.benchlink``.
 
-It only translates between wire records and the types of interface.py.  The
-dispatchers share nothing but decoded worker lists, which are immutable.
+It only translates between wire records and the types of interface.py.  The dispatchers share nothing but
+decoded worker lists, which are immutable.
 """
 
 from __future__ import annotations
@@ -75,15 +75,15 @@
     return Outcome(request, attempt, worker_id(worker), RESULTS[status], latency, bool(finished), report)
 
 
-def _note(fields: Fields) -> ProgressReport:
-    _, request, attempt, worker, note_kind, done = fields
-    return ProgressReport(request, attempt, worker_id(worker), None if note_kind == 1 else done)
+def _progress_report(fields: Fields) -> ProgressReport:
+    _, request, attempt, worker, change_kind, done = fields
+    return ProgressReport(request, attempt, worker_id(worker), None if change_kind == 1 else done)
 
 
-TRANSLATORS: Final[dict[int, Callable[[Fields], Event]]] = {
+DECODERS: Final[dict[int, Callable[[Fields], Event]]] = {
     Ev.REQUEST: _arrival,
     Ev.ENDED: _outcome,
-    Ev.CHANGE: _note,
+    Ev.CHANGE: _progress_report,
     Ev.WAKE: lambda f: Timer(f[1]),
     Ev.ABANDONED: lambda f: Abandoned(f[1]),
     Ev.ACCEPTED: lambda f: StreamStarted(f[1], f[2], worker_id(f[3])),
@@ -112,7 +112,7 @@
 }
 
 
-class Host:
+class Adapter:
     """The dispatchers of this process and the worker lists they refer to by number."""
 
     def __init__(self) -> None:
@@ -138,7 +138,7 @@
                 inbox.pop(instance, None)
                 self.dispatchers.pop(instance, None)
             else:
-                event = self._sync(fields) if code == Ev.SYNC else TRANSLATORS[code](fields)
+                event = self._sync(fields) if code == Ev.SYNC else DECODERS[code](fields)
                 if instance in self.dispatchers:
                     inbox.setdefault(instance, []).append(event)
         for instance, events in inbox.items():
@@ -179,9 +179,9 @@
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    adapter = Adapter()
     while (frame := wire.read_frame(stdin)) is not None:
-        stdout.write(host.answer(frame))
+        stdout.write(adapter.answer(frame))
         stdout.flush()
 
 
--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -88,8 +88,9 @@
         return min(spec.objective for spec in self.settings.classes)
 
     def capacity_share(self, worker: Worker, at: int = -1) -> float:
-        """Return the share of its capacity that a worker surely has at a time (by default now): it rises
-        linearly over the cold time, or sooner.
+        """Return the least share of its full capacity that a worker has at a time (by default now).
+
+        The share rises linearly over the cold time, or sooner.
         """
         age = (self.now if at < 0 else at) - worker.started
         start_share = max(MIN_CAPACITY_SHARE, self.settings.cold_start_share)
@@ -134,15 +135,15 @@
         if event.repeat:
             self.budget.spend()
         spec = job.spec
-        if spec.late_worth > 0:  # measured: a refusal loses more than the delay it adds
+        if spec.late_worth > 0:  # a refusal would lose more than the delay that the job causes
             return False
         slowdown = self.mean_slowdown()
         slack = spec.objective + (spec.stretch - slowdown) * job.work
         worth = spec.worth if self.settings.worth_by_work else spec.worth / job.cost
         rank = shedding_rank(over_share, job.came + slack > self.now, worth)
-        bearable = max(slack, spec.objective / 4)
+        tolerable_wait = max(slack, spec.objective / 4)
         point = mix(job.key or self.settings.position << 40 ^ job.id)
-        shed = self.level.sheds(rank, job.work, bearable, point, self._unqueued_run_time(), self.now)
+        shed = self.level.sheds(rank, job.work, tolerable_wait, point, self._unqueued_run_time(), self.now)
         if self.shared_level is not None:
             shared_shed = self.shared_level.sheds(
                 (event.tenant, event.job_class), rank, job.work, point, self.now
@@ -204,10 +205,12 @@
     def retry_after_us(self, job: Job) -> int:
         """Return the delay before a refused client may retry; 0 where the settings give none."""
         settings = self.settings
-        room = retry_after.time_until_capacity(len(self.jobs) * self.mean_work, self.served.current(self.now))
+        capacity_wait = retry_after.time_until_capacity(
+            len(self.jobs) * self.mean_work, self.served.current(self.now)
+        )
         point = mix(settings.position << 40 ^ job.id)
         limit = settings.max_retry_after * settings.may_send_retry_after
-        return retry_after.compute_retry_after(room, job.spec.objective, limit, point)
+        return retry_after.compute_retry_after(capacity_wait, job.spec.objective, limit, point)
 
     def request_watch(self) -> None:
         """Request a watch on discovery."""
--- a/carthinge/handover_memory.py
+++ b/carthinge/handover_memory.py
@@ -1,6 +1,6 @@
 """The state that a dispatcher hands over to its successor.
 
-The classes are encoded by field name into an upgrade's channel, so these names do not change.
+The classes are encoded by field name in the messages of an upgrade, so these names do not change.
 """
 
 from __future__ import annotations
--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -161,8 +161,10 @@
 
 @dataclass(slots=True)
 class ProgressReport:
-    """A report on an open attempt: that it has begun (``done`` is None), the share done, or only a heartbeat
-    of its worker (``begun`` is False)."""
+    """A report on an open attempt.
+
+    It has begun (``done`` is None), a share is done, or its worker sent only a heartbeat (not ``begun``).
+    """
 
     request: int
     attempt: int
@@ -194,14 +196,12 @@
     """What the schedulers of a fleet have agreed on; replaces the previous view."""
 
     avoided_workers: Sequence[tuple[int, int]] = ()  #: workers that get no jobs, and until when
-    quota_shares: Sequence[
-        float
-    ] = ()  #: this dispatcher's part of each tenant's quota, 1.0 for an even split
-    levels: Mapping[tuple[int, int], int] = field(default_factory=dict)  #: shedding level of each
-    #: tenant and class, per cent; the dispatcher determines those that are missing by itself
-    lent_retries: float = (
-        0.0  #: retries of budget received from others since the last view, negative if given away
-    )
+    #: this dispatcher's part of each tenant's quota, 1.0 for an even split
+    quota_shares: Sequence[float] = ()
+    #: shedding level of each tenant and class, per cent; the dispatcher itself determines those missing
+    levels: Mapping[tuple[int, int], int] = field(default_factory=dict)
+    #: retries added to the budget by others since the last view, negative if given away
+    lent_retries: float = 0.0
 
 
 @dataclass(slots=True)
@@ -249,9 +249,9 @@
     """Why a request is refused or fails; used in logs only."""
 
     UNKNOWN = "unknown"
-    OVERLOAD = "load is shed"
-    NO_WORKER = "no worker may have it"
-    OUT_OF_TIME = "its time is over"
+    OVERLOAD = "overload"
+    NO_WORKER = "no eligible worker"
+    OUT_OF_TIME = "deadline reached"
     NO_RETRY = "no further attempt is allowed"
 
 
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -1,7 +1,7 @@
 """Handover of a dispatcher's state to its successor, and of single jobs.  No scheduling decisions.
 
 Attributes are copied by name between records.py and handover_memory.py; the names of fields, meters and rates
-are part of the format of an upgrade's channel.
+are part of the message format of an upgrade.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
     )
 
 
-def handlers(dispatcher: DispatcherParts) -> dict[type, Callable[[Any], None]]:
+def handover_handlers(dispatcher: DispatcherParts) -> dict[type, Callable[[Any], None]]:
     """Return the handlers of handover events and of the fleet's shared view."""
     return {
         io.Inherit: lambda event: restore_memory(dispatcher, event),
@@ -139,12 +139,12 @@
     job = Job(id=event.request, queue=queue, **{name: getattr(known, name) for name in _JOB_FIELDS})
     job.waiting = False
     dispatcher.context.jobs[job.id] = job
-    attach(dispatcher, job, known.attempts)
+    attach_attempts(dispatcher, job, known.attempts)
     if not job.open:
         dispatcher.enqueue(job)
 
 
-def attach(dispatcher: DispatcherParts, job: Job, attempts: Sequence[AttemptMemory]) -> None:
+def attach_attempts(dispatcher: DispatcherParts, job: Job, attempts: Sequence[AttemptMemory]) -> None:
     """Add the attempts that another dispatcher sent; open ones get a response timeout from now on."""
     for number, sent in enumerate(attempts):
         worker = dispatcher.context.fleet.workers.get(sent.worker)
--- a/carthinge/meters.py
+++ b/carthinge/meters.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class QueueWait:
-    """Moving average of the queue wait at one worker or at all; it includes the load of other dispatchers."""
+    """Moving average of the queue wait at one worker or over all, the load of other dispatchers included."""
 
     wait: float = 0.0
     updated_at: int = 0
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, eq=False)
 class Bucket:
-    """A token bucket; one without a rate is never empty."""
+    """A token bucket; without a rate it is never empty."""
 
     per_s: float
     depth: float
--- a/carthinge/operator_file.py
+++ b/carthinge/operator_file.py
@@ -54,7 +54,7 @@
 
     listen: str = ""  #: local UDP address; off without one
     advertise: str = ""  #: address at which the others reach it, if different
-    members: list[str] = []  #: addresses of some or all schedulers; may include the own one
+    members: list[str] = []  #: addresses of some or all schedulers; may include its own
     period: timedelta = timedelta(seconds=1)  #: heartbeat interval; all others are derived from it
     key_file: str = ""  #: file with the shared secret; without one anybody can join
 
@@ -94,8 +94,8 @@
     except OverflowError:
         raise FileError(f"{path}: a duration in seconds is out of range") from None
     except msgspec.ValidationError as error:
-        what, _, where = str(error).partition(" - at `$.")
-        raise FileError(f"{path}: {where.rstrip('`') or 'the file'}: {what}") from None
+        message, _, key_path = str(error).partition(" - at `$.")
+        raise FileError(f"{path}: {key_path.rstrip('`') or 'the file'}: {message}") from None
     for key, minimum in MIN_DURATIONS.items():
         part, name = key.split(".")
         if getattr(getattr(options, part), name) < minimum:
--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -6,7 +6,7 @@
 from carthinge.dispatch_context import DispatchContext
 
 INITIAL_CAP_SLOTS: Final = 4.0  # outstanding slots at a worker not yet known
-WATCH_RETRY_SHARE: Final = 0.0125  # of ask_within: two lost lists in a row must not miss a drain
+WATCH_RETRY_SHARE: Final = 0.0125  # of ask_within: a drain is noticed in time despite two lost lists
 MIN_WATCH_RETRY_LIMIT_US: Final = 2_000_000  # longest delay where few schedulers share discovery
 WATCH_RETRY_LIMIT_PER_SCHEDULER_US: Final = 20_000  # discovery has a fixed capacity
 MAX_WATCH_RETRY_LIMIT_US: Final = 4_000_000  # a change counts as known 6 s after it can be fetched
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -6,7 +6,7 @@
 
 from carthinge import interface as io
 from carthinge.dispatch_context import DispatchContext
-from carthinge.memory import attach, handlers
+from carthinge.memory import attach_attempts, handover_handlers
 from carthinge.policy.attempts import Attempts
 from carthinge.policy.discovery_events import INITIAL_CAP_SLOTS, DiscoveryEvents
 from carthinge.policy.fair_queueing import Tenants
@@ -18,9 +18,8 @@
 from carthinge.records import Attempt, Job, restore_bypassed
 
 MAX_HINT_DEADLINES: Final = 10.0  # of the class's deadline: long jobs have hints of several deadlines
-OVER_SHARE_WAIT_FACTOR: Final = (
-    2.5  # longest wait of work over its share: times over_share_worth, in objectives
-)
+# Times over_share_worth, in objectives: the longest wait of work over its share.
+OVER_SHARE_WAIT_FACTOR: Final = 2.5
 
 
 class Dispatcher:
@@ -37,9 +36,8 @@
             self.attempts.timeouts,
             self.attempts.schedule_check,
         )
-        self.max_client_waits: list[
-            int
-        ] = []  # of each class, the longest time from an arrival to its give_up
+        # Of each class, the longest time from an arrival to its give_up.
+        self.max_client_waits: list[int] = []
         self.queue_sequence = 0
         self._configure(
             io.SettingsChange(settings, [-1] * len(settings.classes), [-1] * len(settings.tenants))
@@ -58,7 +56,7 @@
             io.Abandoned: self._handle_abandoned,
             io.StreamStarted: self._handle_stream_started,
             io.SettingsChange: self._configure,
-            **handlers(self),
+            **handover_handlers(self),
         }
 
     def handle(self, now: int, events: Sequence[io.Event]) -> list[io.Action]:
@@ -94,7 +92,7 @@
         context, settings = self.context, self.context.settings
         spec = settings.classes[event.job_class]
         work = float(event.hint) if event.hint is not None else context.mean_work
-        # An absurd hint must not distort the mean.
+        # An extreme hint must not distort the mean.
         work = min(work, MAX_HINT_DEADLINES * spec.deadline or work)
         cost = max(1.0, work * event.slots)
         rank = -spec.worth / (1.0 if settings.worth_by_work else cost)  # WSPT: worth for its work
@@ -125,7 +123,7 @@
         context.arrivals.add(1.0, context.now)
         if event.key and context.key_shares.add(event.key):
             self.fleet.list_changed()
-        attach(self, job, sent)
+        attach_attempts(self, job, sent)
         if not sent and context.should_shed(job, over_share, event):  # unless a cold worker can start it now
             job.immediate_only, job.bearable, job.rank = True, 0.0, -math.inf
         if job.immediate_only and not self.selector.best_cold(job):
--- a/carthinge/policy/fair_queueing.py
+++ b/carthinge/policy/fair_queueing.py
@@ -36,9 +36,8 @@
         size = len(self.queues)
         for index in [(self.cursor + step) % size for step in range(size)]:
             queue = self.queues[index]
-            if head := queue.dispatchable_head(
-                dispatchable
-            ):  # a blocked queue keeps its credit and earns none
+            # A blocked queue keeps its credit and earns none.
+            if head := queue.dispatchable_head(dispatchable):
                 if queue.deficit < head.cost:
                     queue.deficit += queue.quantum
                 if queue.deficit >= head.cost:
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -34,14 +34,14 @@
 
         Where hundreds of schedulers share an allowance, each has a part now and then; it is lost if unused.
         """
-        window, near = (
+        window, subset = (
             self.context.now // max(1, self.context.settings.fall_window),
             self.context.fleet.subset,
         )
         if window != self._window:
             self._window, self._open_workers = (
                 window,
-                [w for w in near if self.is_cold(w) and self.allowance(w) > 0],
+                [w for w in subset if self.is_cold(w) and self.allowance(w) > 0],
             )
         return self._open_workers
 
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -10,7 +10,7 @@
 from carthinge.policy.slow_start import SlowStart
 from carthinge.records import Job, Worker
 
-MIN_SAMPLE_SIZE: Final = 3  # many schedulers with equally old reports would herd to the best of more
+MIN_SAMPLE_SIZE: Final = 3  # with more, schedulers with equally old reports would pick the same workers
 SPARE_SLOT_WORTH_SHARE: Final = 0.5  # of the highest worth: jobs worth less leave one reported slot free
 PROBE_WAIT_SHARE: Final = 1 / 16  # of the objective: how long a job waits for its probes
 KEY_FETCH_COST: Final = 1.0  # in mean jobs: fetching the data of a key that a worker does not hold
@@ -60,9 +60,9 @@
     def best(self, job: Job, pool: list[Worker]) -> Worker | None:
         """Return the best of the eligible workers in ``pool``, or None if all are busy."""
         subset = self.context.fleet.subset if job.spec.kind == -1 and job.never_ran() else pool
-        first = self.best_cold(job) if self.context.level.shedding else None  # all others have a wait
+        cold = self.best_cold(job) if self.context.level.shedding else None  # all others have a wait
         return (
-            first
+            cold
             or self._least_loaded(job, subset)
             or (self._least_loaded(job, pool) if subset is not pool else None)
         )
@@ -166,7 +166,7 @@
         if (worker.errors >= UNHEALTHY_ERRORS and worker.outstanding_slots) or (
             worker.queued_attempts and not job.key
         ):
-            return None  # one job at a time while it errs; a queue excludes it, unless a key would be fetched
+            return None  # one job at a time while it fails; only jobs with a key where a queue is known
         if (job.attempts and not self.may_retry(worker, job)) or not self.slow_start.allows(worker, job):
             return None
         slowdown = context.slowdown(worker)
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -29,7 +29,7 @@
     """Statistics of a machine kind, used for workers that have none of their own yet."""
 
     slowdown: float = 1.0  # running time over hinted work
-    slots: float = 0.0  # 0 until a load report shows some
+    slots: float = 0.0  # from load reports, 0 while unknown
     size: float = 0.0  # largest rating seen
 
 
@@ -58,10 +58,10 @@
     free: float = 0.0  # reported free slots minus what was sent since
     free_at: int = -1  # time of the last load report, -1 for none
     avoid_until: int = 0  # no jobs are sent before this time
-    strikes: int = 0  # times it was suspected since it was last heard of
+    strikes: int = 0  # times it was suspected since its last response
     refusals: int = 0  # consecutive
     errors: int = 0  # consecutive
-    heard_at: int = 0  # last answer, start or progress report
+    heard_at: int = 0  # time of its last result, start or progress report
     queue: QueueWait = field(default_factory=lambda: QueueWait())
     sent_at: int = -(1 << 62)  # when this dispatcher last sent it a job; far in the past for never
     well_at: int = 0  # when a job last ended there within its expected running time
@@ -77,14 +77,14 @@
         """Return the 16-bit number that identifies it in messages between dispatchers."""
         return self.point & 0xFFFF
 
-    def apply_entry(self, entry: io.WorkerEntry, out: bool) -> bool:
+    def apply_entry(self, entry: io.WorkerEntry, excluded: bool) -> bool:
         """Apply its entry of a worker list; return whether more than the rating has changed."""
         old, self.entry = self.entry, entry
         self.listed = entry.state is not io.State.GONE
-        self.ready = entry.state is io.State.READY and not out
+        self.ready = entry.state is io.State.READY and not excluded
         self.kind_stats.size = max(self.kind_stats.size, entry.rating)
         started = max(entry.started, self.back)
-        if started != self.started:  # it restarted: what was learned of its state is void
+        if started != self.started:  # it restarted: what was learned of its state is obsolete
             self.started = started
             self.free_at = self.cold_slot = -1
             self.avoid_until = self.strikes = self.refusals = self.errors = 0
@@ -189,9 +189,7 @@
     streaming: bool = False
     silent: bool = False  # cancelled at a worker where it had begun and gone silent
     hedged: bool = False  # it may be hedged as soon as it seems to be queued at a worker
-    immediate_only: bool = (
-        False  # not shed only because a cold worker can begin it at once: sent there or refused
-    )
+    immediate_only: bool = False  # to be shed, unless a cold worker can begin it at once
     bearable: float = 0.0  # expected wait above which a worker counts as busy for this job
     selected_worker: Worker | None = None  # selected when it was found dispatchable at the head of its queue
     next_check_at: int = 0  # while it is blocked: when to select a worker for it again
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """The settings of the decision module, and those that the program around it needs."""
+    """The settings of the dispatcher, and those that the rest of the program needs."""
 
     decisions: Settings
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    report_fields: tuple[str, ...]  #: by the workers' names, in the order in which the module reads them
+    report_fields: tuple[str, ...]  #: as the workers name them, in the dispatcher's order
     connect_timeout: timedelta
     idle_close: timedelta  #: idle time after which a worker closes a connection
     max_retry_after: timedelta
-    list_is_pushed: bool  #: an agent pushes the list; what the agent has counts as known
-    drain_grace: timedelta  #: time after which a worker listed as leaving may get no new job
+    list_is_pushed: bool  #: an agent pushes the list; what the agent has counts as known to the scheduler
+    drain_grace: timedelta  #: time after which a draining worker may get no new job
 
 
 class Facts:
@@ -147,105 +147,105 @@
             yield path, value
 
 
-def read_site(facts: Facts) -> Site:
-    """Read the settings of the module and what else the real program needs."""
-    decisions = read_settings(facts)
+def read_site(table: Facts) -> Site:
+    """Read the settings of the dispatcher and what else the real program needs."""
+    settings = read_settings(table)
     return Site(
-        # The module's messages have no transport between real schedulers, whatever a site allows.
-        decisions=replace(decisions, may_send_messages=False),
-        classes=_unique_names(facts, "services"),
-        tenants=_unique_names(facts, "tenants"),
-        zones=tuple(facts.text_list("zones")),
-        kinds=tuple(facts.text_list("machine_types")),
-        report_fields=tuple(facts.text_list("load_info.fields")),
-        connect_timeout=facts.duration("caps.dial_timeout", timedelta(milliseconds=250)),
-        idle_close=facts.duration("caps.idle_close", timedelta(seconds=5)),
-        max_retry_after=timedelta(microseconds=decisions.max_retry_after * decisions.may_send_retry_after),
-        list_is_pushed=_is_pushed(facts),
-        drain_grace=facts.duration("rules.drain_grace", timedelta()),
+        # A dispatcher's messages have no transport between real schedulers, whatever a site allows.
+        decisions=replace(settings, may_send_messages=False),
+        classes=_unique_names(table, "services"),
+        tenants=_unique_names(table, "tenants"),
+        zones=tuple(table.text_list("zones")),
+        kinds=tuple(table.text_list("machine_types")),
+        report_fields=tuple(table.text_list("load_info.fields")),
+        connect_timeout=table.duration("caps.dial_timeout", timedelta(milliseconds=250)),
+        idle_close=table.duration("caps.idle_close", timedelta(seconds=5)),
+        max_retry_after=timedelta(microseconds=settings.max_retry_after * settings.may_send_retry_after),
+        list_is_pushed=_is_pushed(table),
+        drain_grace=table.duration("rules.drain_grace", timedelta()),
     )
 
 
-def _is_pushed(facts: Facts) -> bool:
-    return facts.choice("membership_mode", {"automatic": True, "subscribe": False}, "automatic")
+def _is_pushed(table: Facts) -> bool:
+    return table.choice("membership_mode", {"automatic": True, "subscribe": False}, "automatic")
 
 
-def _unique_names(facts: Facts, path: str) -> tuple[str, ...]:
-    names = tuple(facts.text(f"{path}.{i}.name") for i in range(facts.integer(f"{path}.count", 0)))
+def _unique_names(table: Facts, path: str) -> tuple[str, ...]:
+    names = tuple(table.text(f"{path}.{i}.name") for i in range(table.integer(f"{path}.count", 0)))
     if len(set(names)) < len(names):
         raise ValueError(f"{path}: duplicate name")
     return names
 
 
-def read_settings(facts: Facts) -> Settings:
+def read_settings(table: Facts) -> Settings:
     """Read the settings of one instance; unknown keys are ignored."""
     names = {
         "rif": "held",
         "inflight": "held",
-        "x0": facts.underscored_text("extra.report_x0"),
-        "x1": facts.underscored_text("extra.report_x1"),
+        "x0": table.underscored_text("extra.report_x0"),
+        "x1": table.underscored_text("extra.report_x1"),
     }
-    fields = tuple(names.get(field, field) for field in facts.text_list("load_info.fields"))
+    fields = tuple(names.get(field, field) for field in table.text_list("load_info.fields"))
     return Settings(
-        classes=tuple(_read_class(facts, i) for i in range(facts.integer("services.count"))),
+        classes=tuple(_read_class(table, i) for i in range(table.integer("services.count"))),
         tenants=tuple(
-            Tenant(facts.number(f"tenants.{i}.share", 0), facts.number(f"tenants.{i}.quota_per_s", 0))
-            for i in range(facts.integer("tenants.count", 0))
+            Tenant(table.number(f"tenants.{i}.share", 0), table.number(f"tenants.{i}.quota_per_s", 0))
+            for i in range(table.integer("tenants.count", 0))
         ),
-        kinds=max(1, len(facts.text_list("machine_types"))),
-        instances=facts.integer("instances"),
-        position=facts.integer("position"),
-        zone=facts.integer("az", 0),
-        weights=facts.choice("weights", WEIGHTS, "off"),
-        reports=facts.choice("load_info.how", REPORTS, "off"),
+        kinds=max(1, len(table.text_list("machine_types"))),
+        instances=table.integer("instances"),
+        position=table.integer("position"),
+        zone=table.integer("az", 0),
+        weights=table.choice("weights", WEIGHTS, "off"),
+        reports=table.choice("load_info.how", REPORTS, "off"),
         report_fields=fields,
-        tells_start=facts.flag("extra.tells_start"),
-        progress=facts.integer("extra.progress", 0),
-        subscribe=not _is_pushed(facts),
-        worth_by_work=facts.text("counted_by", "request") == "work",
-        over_share_worth=facts.number("over_share_worth", 1),
-        may_probe=facts.flag("caps.probing"),
-        may_send_messages=facts.flag("caps.peers"),
-        may_cancel=facts.flag("caps.cancel"),
-        may_hedge=facts.flag("caps.second_copies"),
-        may_send_retry_after=facts.flag("caps.retry_after"),
-        try_limit=facts.integer("caps.try_limit"),
-        max_retry_after=facts.integer("caps.max_retry_after", 0),
-        idle_close=facts.integer("caps.idle_close", 0),
-        price_probe=facts.number("prices.probe", 0),
-        price_connection=facts.number("prices.connection", 0) + facts.number("prices.handshake", 0),
-        price_fetch=facts.number("prices.origin", 0),
-        price_message=facts.number("prices.peer", 0),
-        price_cross_zone=facts.number("prices.cross_zone", 0),
-        answer_grace=facts.integer("rules.grace_to_answer", 0),
-        drain_grace=facts.integer("rules.drain_grace", 0),
-        ask_within=facts.integer("rules.ask_within", 0),
-        cold_start_share=facts.number("rules.start_capacity", 1),
-        cold_time=facts.integer("rules.cold", 0),
-        fall_multiple=facts.number("rules.fall_multiple", 1),
-        fall_window=facts.integer("rules.fall", 0),
+        tells_start=table.flag("extra.tells_start"),
+        progress=table.integer("extra.progress", 0),
+        subscribe=not _is_pushed(table),
+        worth_by_work=table.text("counted_by", "request") == "work",
+        over_share_worth=table.number("over_share_worth", 1),
+        may_probe=table.flag("caps.probing"),
+        may_send_messages=table.flag("caps.peers"),
+        may_cancel=table.flag("caps.cancel"),
+        may_hedge=table.flag("caps.second_copies"),
+        may_send_retry_after=table.flag("caps.retry_after"),
+        try_limit=table.integer("caps.try_limit"),
+        max_retry_after=table.integer("caps.max_retry_after", 0),
+        idle_close=table.integer("caps.idle_close", 0),
+        price_probe=table.number("prices.probe", 0),
+        price_connection=table.number("prices.connection", 0) + table.number("prices.handshake", 0),
+        price_fetch=table.number("prices.origin", 0),
+        price_message=table.number("prices.peer", 0),
+        price_cross_zone=table.number("prices.cross_zone", 0),
+        answer_grace=table.integer("rules.grace_to_answer", 0),
+        drain_grace=table.integer("rules.drain_grace", 0),
+        ask_within=table.integer("rules.ask_within", 0),
+        cold_start_share=table.number("rules.start_capacity", 1),
+        cold_time=table.integer("rules.cold", 0),
+        fall_multiple=table.number("rules.fall_multiple", 1),
+        fall_window=table.integer("rules.fall", 0),
     )
 
 
-def _read_class(facts: Facts, index: int) -> JobClass:
+def _read_class(table: Facts, index: int) -> JobClass:
     def extra(name: str, default: float) -> float:
-        listed = facts.text_list(f"extra.{name}")
+        listed = table.text_list(f"extra.{name}")
         return float(listed[index]) if index < len(listed) else default
 
     prefix = f"services.{index}."
-    effect = facts.choice(prefix + "effect", EFFECTS, "")
+    effect = table.choice(prefix + "effect", EFFECTS, "")
     return JobClass(
-        objective=facts.integer(prefix + "objective"),
-        deadline=facts.integer(prefix + "hard_limit"),
+        objective=table.integer(prefix + "objective"),
+        deadline=table.integer(prefix + "hard_limit"),
         effect=effect,
-        scope=facts.choice(prefix + "group", SCOPES, "all"),
-        window=facts.integer(prefix + "window", None if effect is Effect.KEYED else 0),
-        worth=facts.number(prefix + "value", 1),
-        late_worth=facts.number(prefix + "late_worth", 0),
+        scope=table.choice(prefix + "group", SCOPES, "all"),
+        window=table.integer(prefix + "window", None if effect is Effect.KEYED else 0),
+        worth=table.number(prefix + "value", 1),
+        late_worth=table.number(prefix + "late_worth", 0),
         stretch=extra("class_stretch", 0),
         kind=int(extra("class_kind", -1)),
         priority=int(extra("class_priority", 0)),
-        streamed=facts.flag(prefix + "stream"),
+        streamed=table.flag(prefix + "stream"),
     )
 
 
--- a/carthinge/wire.py
+++ b/carthinge/wire.py
@@ -1,8 +1,7 @@
 """Codec of the rowan-0490 wire protocol: frames and records to tuples and back.
 
-A record decodes to ``(code, fields)`` with the fields in wire order; content
-of variable length (bytes, floats, list entries) is the last field.  The fields
-are interpreted in benchlink.py.
+A record decodes to ``(code, fields)`` with the fields in wire order; content of variable length (bytes,
+floats, list entries) is the last field.  The fields are interpreted in benchlink.py.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
     """A malformed frame; the message names the error and its position."""
 
 
-class Shape(NamedTuple):
+class RecordLayout(NamedTuple):
     """The layout of one record: a fixed part, then optional content of variable length."""
 
     name: str
@@ -61,32 +60,32 @@
 
 
 EVENTS: Final = {
-    Ev.NEW_INSTANCE: Shape("NEW_INSTANCE", Struct("<IQ"), "text32"),
-    Ev.SYNC: Shape("SYNC", Struct("<IIBH")),
-    Ev.REQUEST: Shape("REQUEST", Struct("<IIHIQQIffB")),
-    Ev.ACCEPTED: Shape("ACCEPTED", Struct("<IIB6sI")),
-    Ev.ENDED: Shape("ENDED", Struct("<IIIB6sBHI"), "floats8"),
-    Ev.ABANDONED: Shape("ABANDONED", Struct("<II")),
-    Ev.WAKE: Shape("WAKE", Struct("<IQ")),
-    Ev.CHECK_RESULT: Shape("CHECK_RESULT", Struct("<I6sHI"), "floats8"),
-    Ev.MEMO: Shape("MEMO", Struct("<IH"), "text16"),
-    Ev.SHUTDOWN: Shape("SHUTDOWN", Struct("<I")),
-    Ev.CATALOG: Shape("CATALOG", Struct("<H"), "entries32"),
-    Ev.CHANGE: Shape("CHANGE", Struct("<IIB6sBf")),
+    Ev.NEW_INSTANCE: RecordLayout("NEW_INSTANCE", Struct("<IQ"), "text32"),
+    Ev.SYNC: RecordLayout("SYNC", Struct("<IIBH")),
+    Ev.REQUEST: RecordLayout("REQUEST", Struct("<IIHIQQIffB")),
+    Ev.ACCEPTED: RecordLayout("ACCEPTED", Struct("<IIB6sI")),
+    Ev.ENDED: RecordLayout("ENDED", Struct("<IIIB6sBHI"), "floats8"),
+    Ev.ABANDONED: RecordLayout("ABANDONED", Struct("<II")),
+    Ev.WAKE: RecordLayout("WAKE", Struct("<IQ")),
+    Ev.CHECK_RESULT: RecordLayout("CHECK_RESULT", Struct("<I6sHI"), "floats8"),
+    Ev.MEMO: RecordLayout("MEMO", Struct("<IH"), "text16"),
+    Ev.SHUTDOWN: RecordLayout("SHUTDOWN", Struct("<I")),
+    Ev.CATALOG: RecordLayout("CATALOG", Struct("<H"), "entries32"),
+    Ev.CHANGE: RecordLayout("CHANGE", Struct("<IIB6sBf")),
 }
 ACTIONS: Final = {
-    Act.ISSUE: Shape("ISSUE", Struct("<II6sI")),
-    Act.BOUNCE: Shape("BOUNCE", Struct("<III")),
-    Act.END_FAILED: Shape("END_FAILED", Struct("<II")),
-    Act.WITHDRAW: Shape("WITHDRAW", Struct("<IIB")),
-    Act.SLEEP: Shape("SLEEP", Struct("<IQQ")),
-    Act.PROBE: Shape("PROBE", Struct("<I6s")),
-    Act.DROP_CONNS: Shape("DROP_CONNS", Struct("<I6s")),
-    Act.MEMO_TO: Shape("MEMO_TO", Struct("<II"), "text16"),
-    Act.LOG: Shape("LOG", Struct("<I"), "text16"),
-    Act.BAIL_OUT: Shape("BAIL_OUT", Struct("<I"), "text16"),
-    Act.WATCH: Shape("WATCH", Struct("<IB")),
-    Act.LOOKUP: Shape("LOOKUP", Struct("<I")),
+    Act.ISSUE: RecordLayout("ISSUE", Struct("<II6sI")),
+    Act.BOUNCE: RecordLayout("BOUNCE", Struct("<III")),
+    Act.END_FAILED: RecordLayout("END_FAILED", Struct("<II")),
+    Act.WITHDRAW: RecordLayout("WITHDRAW", Struct("<IIB")),
+    Act.SLEEP: RecordLayout("SLEEP", Struct("<IQQ")),
+    Act.PROBE: RecordLayout("PROBE", Struct("<I6s")),
+    Act.DROP_CONNS: RecordLayout("DROP_CONNS", Struct("<I6s")),
+    Act.MEMO_TO: RecordLayout("MEMO_TO", Struct("<II"), "text16"),
+    Act.LOG: RecordLayout("LOG", Struct("<I"), "text16"),
+    Act.BAIL_OUT: RecordLayout("BAIL_OUT", Struct("<I"), "text16"),
+    Act.WATCH: RecordLayout("WATCH", Struct("<IB")),
+    Act.LOOKUP: RecordLayout("LOOKUP", Struct("<I")),
 }
 EVERY_PEER: Final = 0xFFFFFFFF
 MAX_FRAME_BYTES: Final = 1 << 30  # a greater length is taken for a corrupt header
@@ -105,7 +104,7 @@
 
 
 def decode_records(
-    frame: bytes, offset: int, count: int, shapes: dict[int, Shape]
+    frame: bytes, offset: int, count: int, layouts: dict[int, RecordLayout]
 ) -> list[tuple[int, Fields]]:
     """Decode the records of a frame, which must end with the last one."""
     records: list[tuple[int, Fields]] = []
@@ -113,11 +112,11 @@
         start = offset
         try:
             code = frame[offset]
-            shape = shapes[code]
-            fields = shape.fixed.unpack_from(frame, offset + 1)
-            offset += 1 + shape.fixed.size
-            if shape.tail:
-                tail, offset = _decode_tail(frame, offset, shape.tail)
+            layout = layouts[code]
+            fields = layout.fixed.unpack_from(frame, offset + 1)
+            offset += 1 + layout.fixed.size
+            if layout.tail:
+                tail, offset = _decode_tail(frame, offset, layout.tail)
                 fields += (tail,)
         except KeyError:
             raise WireError(f"unknown code {frame[start]} in record {index} at byte {start}") from None
@@ -142,20 +141,23 @@
     return (tuple(_ENTRY.iter_unpack(content)) if tail == "entries32" else content), end
 
 
-def encode_record(code: int, fields: Fields, shapes: dict[int, Shape]) -> bytes:
+def encode_record(code: int, fields: Fields, layouts: dict[int, RecordLayout]) -> bytes:
     """Encode one record; the inverse of :func:`decode_records`."""
-    shape = shapes[code]
-    if not shape.tail:
-        return bytes((code,)) + shape.fixed.pack(*fields)
+    layout = layouts[code]
+    if not layout.tail:
+        return bytes((code,)) + layout.fixed.pack(*fields)
     content = fields[-1]
-    if shape.tail == "floats8":
+    if layout.tail == "floats8":
         raw = Struct(f"<{len(content)}f").pack(*content)
-    elif shape.tail == "entries32":
+    elif layout.tail == "entries32":
         raw = b"".join(_ENTRY.pack(*entry) for entry in content)
     else:
         raw = content
     return (
-        bytes((code,)) + shape.fixed.pack(*fields[:-1]) + _COUNT_FORMATS[shape.tail].pack(len(content)) + raw
+        bytes((code,))
+        + layout.fixed.pack(*fields[:-1])
+        + _COUNT_FORMATS[layout.tail].pack(len(content))
+        + raw
     )
 
 
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers that a dispatcher knows of from discovery, operators and peers.  No scheduling decisions."""
+"""The workers that a dispatcher knows from discovery, operators and peers.  No scheduling decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from carthinge.records import Kind, Worker, mix
 
 LOAD_ENTRY_FORMAT: Final = Struct("<HBB")
-MAX_CACHED_KEYS: Final = 2048  # cache size: a miss hashes the key with every worker
+MAX_CACHED_KEYS: Final = 2048  # bounds the cache; a miss hashes the key with every worker
 
 
 class Loads:
@@ -24,16 +24,16 @@
     @staticmethod
     def pack(workers: Iterable[Worker], rng: Random) -> bytes:
         """Encode the outstanding load; a random sample of the workers if not all fit."""
-        out = [worker for worker in workers if worker.outstanding_slots > 0]
-        if len(out) > Loads.MAX_ENTRIES:
-            out = rng.sample(out, Loads.MAX_ENTRIES)
+        loaded = [worker for worker in workers if worker.outstanding_slots > 0]
+        if len(loaded) > Loads.MAX_ENTRIES:
+            loaded = rng.sample(loaded, Loads.MAX_ENTRIES)
         return b"".join(
             LOAD_ENTRY_FORMAT.pack(
                 worker.tag,
                 min(255, round(worker.outstanding_slots * 8)),
                 min(255, round(8 * math.log2(1 + worker.outstanding_work))),
             )
-            for worker in out
+            for worker in loaded
         )
 
     @staticmethod
@@ -67,9 +67,8 @@
         self.kinds: dict[int, Kind] = {}
         self.workers_by_tag: dict[int, Worker] = {}
         self.subset: list[Worker] = []  # the subset of the ready workers that this dispatcher prefers
-        self.out: set[int] = (
-            set()
-        )  # excluded by operators: ids, since discovery may drop a worker and list it again
+        # Ids of workers excluded by operators; discovery may drop such a worker and list it again.
+        self.out: set[int] = set()
         self.version = 0  # incremented whenever the list changes
         self._group_by_cell = group_by_cell  # order the workers by cell
         self._select_subset = select_subset
@@ -77,7 +76,7 @@
         self._workers_by_key: dict[int, list[Worker]] = {}
         self._peers: dict[int, list[tuple[Worker, float, float]]] = {}  # last message of each peer
         self._order_ranks: dict[int, int] = {}  # position in this dispatcher's own order, by worker id
-        self._groups: dict[int, list[list[Worker]]] = {}  # of the cached pools and of ``near``, by id()
+        self._groups: dict[int, list[list[Worker]]] = {}  # of the cached pools and of ``subset``, by id()
 
     def add(self, entry: io.WorkerEntry, cap: float) -> Worker:
         """Add a worker that was not known before."""
@@ -120,8 +119,8 @@
         ``kinds`` has the old position of each kind, -1 for a new one; None if all stay as they are.
         """
         if kinds is not None:
-            before, self.kinds = self.kinds, {}
-            self.kinds.update({now: before[was] for now, was in enumerate(kinds) if was in before})
+            old_kinds, self.kinds = self.kinds, {}
+            self.kinds.update({new: old_kinds[old] for new, old in enumerate(kinds) if old in old_kinds})
         self.list_changed()
 
     def set_excluded(self, event: io.OperatorExclusion, cap: float, now: int) -> None:
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""Behaviour of the decision module under settings that only other deployments have."""
+"""Behaviour of the dispatcher under settings that only other deployments have."""
 
 from dataclasses import replace
 
@@ -23,7 +23,7 @@
         if not (sends := only(io.Send, dispatcher.handle(now, [arrival(job, now=now)]))):
             return sent
         sent.append(sends[0].worker)
-    raise AssertionError("never busy")
+    raise AssertionError("the workers were never all busy")
 
 
 def test_no_probes_without_benefit():
@@ -108,8 +108,8 @@
     dispatcher = started(settings(LONG, progress=INTERVAL), 1)
     start_job(dispatcher, 1), start_job(dispatcher, 2)
     dispatcher.handle(3, [listing(2, kind=io.Listing.CHANGES)])
-    told = [dispatcher.handle(at * INTERVAL, [io.ProgressReport(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
-    assert [send.request for batch in told for send in only(io.Send, batch)] == [1]
+    batches = [dispatcher.handle(at * INTERVAL, [io.ProgressReport(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
+    assert [send.request for batch in batches for send in only(io.Send, batch)] == [1]
 
 
 def test_silence_is_noticed_before_deadline():
@@ -172,7 +172,7 @@
 
 def test_worker_with_queued_job_gets_no_more():
     """Others hold its slots: further jobs would queue there, where worth and shares do not apply."""
-    for told in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
+    for event in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
         dispatcher = started(settings(may_hedge=False, may_cancel=False), 1)
         assert only(io.Send, dispatcher.handle(1, [arrival()]))
         assert only(
@@ -181,7 +181,7 @@
         dispatcher.handle(3, [outcome(2, 0, 1, R.OK)])
         dispatcher.handle(30_000, [io.Timer(0)])
         assert not only(io.Send, dispatcher.handle(30_001, [arrival(3)]))
-        assert [send.request for send in only(io.Send, dispatcher.handle(30_002, [told]))] == [3]
+        assert [send.request for send in only(io.Send, dispatcher.handle(30_002, [event]))] == [3]
 
 
 @pytest.mark.parametrize(("worth", "first"), [(1.0, 900), (2.0, 900), (4.0, 104)])
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -89,7 +89,7 @@
         self.violations = []
         self.tasks = set()
         self.deadlines = {}  # deadline of each job's client
-        self.left = {}  # when its client disconnected, if before its answer
+        self.disconnected_at = {}  # when its client disconnected, if before its answer
         self.lag = 0.0  # decaying maximum of this process's own delay, which is no violation
 
     async def measure_lag(self):
@@ -125,12 +125,14 @@
         """Handle one attempt; return False if its connection ends without an answer."""
         open_at, ran = self.open_at.setdefault(job, set()), self.ran.setdefault(job, set())
         now = time.monotonic()
-        if job in self.left and now > self.left[job] + START_GRACE_S + self.lag:
-            self.violations.append(f"{job}: begins {now - self.left[job]:.3f} s after its client has left")
-        left = self.deadlines.get(job, now) - now
-        if job in self.deadlines and sent_deadline > max(left, 0.0) + DEADLINE_GRACE_S + self.lag:
+        if job in self.disconnected_at and now > self.disconnected_at[job] + START_GRACE_S + self.lag:
             self.violations.append(
-                f"{job}: deadline of {sent_deadline:.3f} s sent where {left:.3f} s are left"
+                f"{job}: begins {now - self.disconnected_at[job]:.3f} s after its client has left"
+            )
+        remaining = self.deadlines.get(job, now) - now
+        if job in self.deadlines and sent_deadline > max(remaining, 0.0) + DEADLINE_GRACE_S + self.lag:
+            self.violations.append(
+                f"{job}: deadline of {sent_deadline:.3f} s sent where {remaining:.3f} s are left"
             )
         if number in open_at or (open_at and not self.settings["caps"]["second_copies"]):
             self.violations.append(f"{job}: a second copy, at worker {number} beside {open_at}")
@@ -168,9 +170,14 @@
         return not self.ran.get(job) or spec["effect"] == "read_like" or keyed
 
     async def send_callback(self, number, job, behaviour):
-        ending = [(self.rng.uniform(0.0, 0.05), "failed" if behaviour == "failed" else "done")]
-        notes = [(0.01, "running")] * (self.settings["extra"]["progress"] == 20_000)
-        for wait, state in [(0.005, "started"), *notes, *ending, *ending[: behaviour == "twice"]]:
+        final_callback = [(self.rng.uniform(0.0, 0.05), "failed" if behaviour == "failed" else "done")]
+        progress_reports = [(0.01, "running")] * (self.settings["extra"]["progress"] == 20_000)
+        for wait, state in [
+            (0.005, "started"),
+            *progress_reports,
+            *final_callback,
+            *final_callback[: behaviour == "twice"],
+        ]:
             await asyncio.sleep(wait)  # running time
             if state in ("done", "failed"):
                 self.open_at.get(job, set()).discard(number)
@@ -222,14 +229,14 @@
         name = rng.choice(list(workers.classes))
         job, timeout = f"{name}.{number}-{step}", rng.choice([0.15, 0.4])
         key = [f"Idempotency-Key: {job}"] * (workers.classes[name]["effect"] == "idempotency_key")
-        span = rng.choice([f"{timeout * 1000:.0f}m", f"{timeout * 1e6:.0f}u"])
+        deadline = rng.choice([f"{timeout * 1000:.0f}m", f"{timeout * 1e6:.0f}u"])
         lines = [
             f"POST /api/{job} HTTP/1.1",
             "Host: x",
             f"Req-Id: {job}",
             f"Req-Kind: {name}",
             "Req-Owner: acme",
-            f"Req-Deadline: {span}",
+            f"Req-Deadline: {deadline}",
             *key,
             "Content-Length: 2",
             "",
@@ -244,7 +251,7 @@
             connection = await disconnect(
                 world.port, "\r\n".join(lines).encode(), connection, rng.choice([0.0, 0.01, 0.05])
             )
-            workers.left[job] = time.monotonic()
+            workers.disconnected_at[job] = time.monotonic()
             continue
         call = exchange(world.port, "\r\n".join(lines).encode(), connection)
         try:
@@ -277,7 +284,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while await reader.readuntil(b"\r\n\r\n"):
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-    elif kind == "well":
+    elif kind == "healthy":
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while await reader.readuntil(b"\r\n\r\n"):
                 await asyncio.sleep(0.05)  # no change
@@ -288,9 +295,9 @@
     writer.close()
 
 
-async def play(world, rng):
+async def run_clients(world, rng):
     workers, kill_steps, problems = Workers(world, rng), [0], []
-    kind = rng.choice(["503", "silent", "reset", "well"])
+    kind = rng.choice(["503", "silent", "reset", "healthy"])
     lag_task = asyncio.create_task(workers.measure_lag())
     servers = await workers.listen()
     servers.append(await asyncio.start_server(partial(discovery, kind), sock=world.discovery.sock))
@@ -318,6 +325,6 @@
     rng = random.Random(seed)
     settings, limits = random_deployment(rng)
     with World(tmp_path, settings=settings, **limits) as world:
-        problems = asyncio.run(play(world, rng))
+        problems = asyncio.run(run_clients(world, rng))
         assert world.process.poll() is None, f"seed {seed}: {world.log()}"
         assert not problems, f"seed {seed}, {limits}, {settings}: {problems}"
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -19,7 +19,7 @@
     return {**SETTINGS, "caps": {**SETTINGS["caps"], **(caps or {})}, **more}
 
 
-def short(deadline):
+def site_with_deadline(deadline):
     return site(services=[{**spec, "hard_limit": deadline} for spec in SETTINGS["services"]])
 
 
@@ -31,7 +31,7 @@
 
 
 def test_drain_with_short_deadlines_leaves_answer_time(serve):
-    program = serve(settings=short(200_000))
+    program = serve(settings=site_with_deadline(200_000))
     program._drain()
     drain = program.frontend.draining
     assert drain.arriving_until < drain.answered_by < program.loop.now + 900 * MS  # SIGKILL may follow then
@@ -66,9 +66,9 @@
         stuck.rollback()
 
 
-@pytest.mark.parametrize(("advises", "limit"), [(True, 2_000 * MS), (False, timedelta())])
-def test_retry_after_only_where_settings_allow(advises, limit):
-    assert read_site(Facts.from_nested(site({"retry_after": advises}))).max_retry_after == limit
+@pytest.mark.parametrize(("allowed", "limit"), [(True, 2_000 * MS), (False, timedelta())])
+def test_retry_after_only_where_settings_allow(allowed, limit):
+    assert read_site(Facts.from_nested(site({"retry_after": allowed}))).max_retry_after == limit
 
 
 # ---- load reports and probes --------------------------------------------------------------------
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -46,7 +46,7 @@
     return worker
 
 
-def with_many_keys(instances=40, seed=1, **more):
+def dispatcher_with_many_keys(instances=40, seed=1, **more):
     """A dispatcher that has seen many keys, each once."""
     dispatcher = started(settings(SAFE, instances=instances, **more), *range(1, 61), seed=seed)
     for step in range(400):
@@ -55,7 +55,7 @@
 
 
 def test_schedulers_agree_despite_connection_price():
-    dispatchers = [with_many_keys(seed=seed, price_connection=0.02) for seed in range(3)]
+    dispatchers = [dispatcher_with_many_keys(seed=seed, price_connection=0.02) for seed in range(3)]
     for key in range(1, 40):
         assert (
             len({send_and_finish(dispatcher, 10**8 + key * 100_000, key, key) for dispatcher in dispatchers})
@@ -112,8 +112,8 @@
 
 
 def test_start_wait_reveals_load_of_others():
-    """Two hundred schedulers with one job each at a worker make a queue that none of them knows of."""
-    dispatcher, now = with_many_keys(), 10**8
+    """Two hundred schedulers with one job each at a worker make a queue that none of them sees."""
+    dispatcher, now = dispatcher_with_many_keys(), 10**8
     home = send_and_finish(dispatcher, now, 1, key=7)
     dispatcher.handle(now, [arrival(3, now=now, key=7)])
     dispatcher.handle(now + 2_000_000, [io.ProgressReport(3, 0, home)])  # after a wait of two seconds
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -19,7 +19,7 @@
         self.leases, self.model, self.now, self.tokens = Leases(DURATION), {}, timedelta(), 0
 
     @rule(data=st.data())
-    def hold(self, data):
+    def grant_or_renew(self, data):
         token = data.draw(st.integers(1, self.tokens + 1))
         self.tokens = max(self.tokens, token)
         until = self.leases.grant_or_renew(token, f"holder {token}", self.now)
@@ -46,10 +46,10 @@
     def matches_model(self):
         assert len(self.leases) == len(self.model)
         assert all(self.leases.held(token) == (token in self.model) for token in range(1, self.tokens + 1))
-        soonest = min(self.model.values(), default=None)
+        first_expiry = min(self.model.values(), default=None)
         due = self.leases.due()
-        if soonest is not None:  # it may be too early, but never too late
-            assert due is not None and due <= soonest
+        if first_expiry is not None:  # it may be too early, but never too late
+            assert due is not None and due <= first_expiry
 
 
 TestLeases = LeaseMachine.TestCase
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Dispatcher decisions: one small test for each known or expected failure, without the benchmark."""
+"""Dispatcher decisions: one small test for each known or expected failure."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -31,7 +31,7 @@
     assert all(q.quantum > 0 for q in unshared.tenants.ring.queues)
 
 
-def test_least_outstanding_work_is_picked():
+def test_least_loaded_worker_is_picked():
     dispatcher = started(settings(), 1, 2)
     first = only(io.Send, dispatcher.handle(1, [arrival(1, hint=900_000)]))[0].worker
     second = only(io.Send, dispatcher.handle(2, [arrival(2)]))[0].worker
@@ -40,7 +40,7 @@
     assert third == second  # outstanding work is 50 ms there and 900 ms at the other
 
 
-def test_job_refused_without_eligible_worker_held_while_busy():
+def test_ineligible_job_refused_busy_one_held():
     config = settings(io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5, kind=1))
     assert only(io.Refuse, started(config, 1).handle(1, [arrival()]))
     dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
@@ -113,7 +113,7 @@
     assert only(io.Watch, dispatcher.handle(19_000_001, [io.Timer(0)]))
 
 
-def test_absurd_hint_keeps_mean_work():
+def test_huge_hint_keeps_mean_work():
     dispatcher = started(settings(), 1)
     dispatcher.handle(1, [arrival(1, hint=10**15)])
     assert dispatcher.context.mean_work < 2 * SAFE.deadline
@@ -131,8 +131,8 @@
     config = settings(may_send_messages=True, instances=2, price_message=0.01)
     sender, receiver = started(config, 1, 2), started(config, 1, 2)
     busy = only(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
-    told = only(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
-    receiver.handle(70_000, [io.Message(1, told[0].body)])
+    messages = only(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
+    receiver.handle(70_000, [io.Message(1, messages[0].body)])
     assert only(io.Send, receiver.handle(70_001, [arrival(5)]))[0].worker == 3 - busy
 
 
@@ -149,7 +149,7 @@
     dispatcher = started(settings(), 1)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     dispatcher.handle(2, [outcome(1, 0, sent, R.OK)])
-    strange = [
+    unknown = [
         outcome(1, 0, sent, R.ERROR),
         outcome(9, 3, 44, R.OK),
         io.Abandoned(1),
@@ -158,7 +158,7 @@
         io.ProbeResult(99, R.OK, 5),
         io.Timer(123),
     ]
-    assert not [a for a in dispatcher.handle(3, strange) if not isinstance(a, io.SetTimer)]
+    assert not [a for a in dispatcher.handle(3, unknown) if not isinstance(a, io.SetTimer)]
 
 
 def test_same_events_give_same_actions():
@@ -219,7 +219,7 @@
 
 def test_sampling_without_load_follows_kind_capacity():
     """Uniform sampling gave small slow workers as many jobs as large fast ones; they queued (split+mass)."""
-    got = {0: 0, 1: 0}
+    sent_by_kind = {0: 0, 1: 0}
     for position in range(200):
         dispatcher = started(
             unseen_load_settings(position=position),
@@ -229,24 +229,24 @@
         dispatcher.fleet.kinds[0].slots, dispatcher.fleet.kinds[0].slowdown = 3, 0.4
         dispatcher.fleet.kinds[1].slots, dispatcher.fleet.kinds[1].slowdown = 2, 1.6
         for send in only(io.Send, dispatcher.handle(1, [arrival(n) for n in range(3)])):
-            got[dispatcher.fleet.workers[send.worker].entry.kind] += 1
+            sent_by_kind[dispatcher.fleet.workers[send.worker].entry.kind] += 1
     # One half of the workers has six times the capacity of the other.
-    assert got[0] + got[1] == 600 and 4 < got[0] / got[1] < 9
+    assert sent_by_kind[0] + sent_by_kind[1] == 600 and 4 < sent_by_kind[0] / sent_by_kind[1] < 9
 
 
 def test_scheduler_reuses_worker_it_just_freed():
     """Only this scheduler knows of the slot, and the connection is open; 0.97 were opened per job before."""
     dispatcher = started(unseen_load_settings(price_connection=0.02), *range(1, 101))
-    slots = []
+    used = []
     for step in range(40):
         now = 1 + step * 300_000
         send = only(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))[0]
-        slots.append(send.worker)
+        used.append(send.worker)
         dispatcher.handle(now + 100_000, [outcome(step, 0, send.worker, R.OK, report=(1.0,))])
-    assert len(set(slots)) <= 8
+    assert len(set(used)) <= 8
 
 
-def test_absurd_ratings_do_not_break_selection():
+def test_huge_ratings_do_not_break_selection():
     entries = [io.WorkerEntry(n, kind=n % 2, rating=1.7e308) for n in range(1, 41)]
     dispatcher = started(unseen_load_settings(), *entries)
     assert only(io.Send, dispatcher.handle(1, [arrival()]))
@@ -257,13 +257,13 @@
     order = dispatcher.fleet.pool(-1)
     for worker in order[:6]:
         worker.avoid_until = 10**9
-    met = dict.fromkeys((worker.id for worker in order[6:]), 0)
+    sent_counts = dict.fromkeys((worker.id for worker in order[6:]), 0)
     for step in range(600):
         send = only(io.Send, dispatcher.handle(step + 1, [arrival(step)]))[0]
-        met[send.worker] += 1
+        sent_counts[send.worker] += 1
         dispatcher.handle(step + 1, [outcome(step, 0, send.worker, R.FULL, finished=True)])
         dispatcher.fleet.workers[send.worker].avoid_until = 0
-    assert max(met.values()) < 150
+    assert max(sent_counts.values()) < 150
 
 
 def test_workers_reported_full_are_not_candidates():
@@ -276,7 +276,7 @@
     assert {worker.id for worker in candidates} <= {8, 50}
 
 
-def reporting(*workers, **more):
+def dispatcher_with_report(*workers, **more):
     """A dispatcher whose worker 1 has reported two free slots with an earlier result."""
     dispatcher = started(
         settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",), **more), *workers
@@ -288,14 +288,14 @@
 
 def test_slot_freed_here_counts_despite_stale_report():
     """The report was made before the job ended, and so shows no free slot."""
-    dispatcher = reporting(1)
+    dispatcher = dispatcher_with_report(1)
     dispatcher.handle(3, [arrival(1)])
     dispatcher.handle(4, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     assert only(io.Send, dispatcher.handle(5, [arrival(2)]))
 
 
 def test_worker_never_gets_more_than_its_slots():
-    dispatcher = reporting(1)
+    dispatcher = dispatcher_with_report(1)
     dispatcher.fleet.workers[1].cap = 50.0
     late = 2_000_000  # the report is stale by then
     assert only(io.Send, dispatcher.handle(late, [arrival(1, now=late), arrival(2, now=late)]))
@@ -339,7 +339,7 @@
 )
 
 
-def with_reported_slots():
+def dispatcher_with_reported_slots():
     """Two workers that have reported three free slots each and run jobs as hinted."""
     dispatcher = started(REPORTED, 1, 2)
     for step in range(40):
@@ -351,7 +351,7 @@
 
 def test_cold_workers_loaded_within_slot_capacity():
     """After a release most of a fleet is cold; it got a tenth of its capacity, and jobs waited."""
-    dispatcher, began = with_reported_slots()
+    dispatcher, began = dispatcher_with_reported_slots()
     cold = [io.WorkerEntry(n, started=began) for n in (1, 2)]
     dispatcher.handle(began, [listing(*cold, kind=io.Listing.CHANGES)])
     work, running = {1: 0, 2: 0}, []
@@ -366,9 +366,9 @@
     assert all(capacity / 2 < given < capacity * REPORTED.fall_multiple / 2 for given in work.values())
 
 
-def test_large_job_does_not_block_small_ones_from_cold_worker():
+def test_large_job_does_not_block_others():
     """At the head of its tenant's queue it waited for a warm worker and blocked the jobs behind it."""
-    dispatcher, now = with_reported_slots()
+    dispatcher, now = dispatcher_with_reported_slots()
     began = io.WorkerEntry(1, started=now)
     dispatcher.handle(now, [listing(began, kind=io.Listing.CHANGES), io.OperatorExclusion(2, True)])
     assert not only(io.Send, dispatcher.handle(now + 1, [arrival(100, now=now, hint=4_000_000)]))
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -46,7 +46,7 @@
     assert not only(io.Send, actions) and only(io.Refuse, actions)
 
 
-def test_silent_worker_suspected_and_safe_job_copied():
+def test_silent_worker_suspected_and_safe_job_hedged():
     dispatcher = started(settings(), 1, 2)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     copies = only(io.Send, dispatcher.handle(400_000, [io.Timer(0)]))
@@ -62,13 +62,13 @@
     assert dispatcher.fleet.workers[1].strikes == 0
 
 
-def test_unsafe_job_is_never_copied():
+def test_unsafe_job_is_never_hedged():
     dispatcher = started(settings(UNSAFE), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
 
-def test_no_copy_where_settings_forbid_it():
+def test_no_hedge_where_settings_forbid_it():
     dispatcher = started(settings(may_hedge=False), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -19,8 +19,8 @@
         for step in range(100):  # one window of two seconds
             actions = dispatcher.handle(now + step * 20_000, [arrival(1000 + step, now=now)])
             sent += sum(1 for s in only(io.Send, actions) if s.worker == 1)
-    fair = 22 * 100 / 10
-    assert sent < 0.8 * fair  # a cold worker gets a fraction of the fleet's mean load
+    fair_share = 22 * 100 / 10
+    assert sent < 0.8 * fair_share  # a cold worker gets a fraction of the fleet's mean load
 
 
 def test_refusals_in_a_row_lengthen_ejection():
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP are applied as a whole and by name, or not at all."""
+"""Settings that change at SIGHUP are applied by name and as a whole, or not at all."""
 
 import copy
 import json
@@ -22,9 +22,9 @@
         yield started
 
 
-def reload_and_wait(world, given):
+def reload_and_wait(world, changed):
     before = world.metrics()["reloads_ok"]
-    world.reload(given)
+    world.reload(changed)
     world.wait_for_log("event=reloaded")
     while world.metrics()["reloads_ok"] == before:
         pass  # each metrics request is one turn of the loop
@@ -77,20 +77,20 @@
 
 
 def settings_without(path):
-    given = copy.deepcopy(SETTINGS)
-    at = given
-    *way, last = path
-    for step in way:
+    changed = copy.deepcopy(SETTINGS)
+    at = changed
+    *parents, last = path
+    for step in parents:
         at = at[step]
     del at[last]
-    return given
+    return changed
 
 
 def settings_with_class(**more):
     return changed_settings([QUERY, REINDEX, {**CHARGE, **more}])
 
 
-BROKEN = {
+INVALID = {
     "empty": "",
     "cut off": json.dumps({"settings": SETTINGS})[:-40],
     "no object": "[]",
@@ -117,10 +117,10 @@
 
 
 def test_invalid_settings_change_nothing(world):
-    for count, (name, given) in enumerate(BROKEN.items(), 1):
-        if not isinstance(given, str):
-            given = json.dumps({**world.config, "settings": given}).replace('"1e999"', "1e999")
-        world.reload(given)
+    for count, (name, changed) in enumerate(INVALID.items(), 1):
+        if not isinstance(changed, str):
+            changed = json.dumps({**world.config, "settings": changed}).replace('"1e999"', "1e999")
+        world.reload(changed)
         while world.metrics()["reloads_failed"] < count:
             assert world.metrics()["reloads_ok"] == 0, name
     client = world.submit("a1", kind="charge")
@@ -131,7 +131,7 @@
     assert world.connect().send(job("a2", kind="maybe")).status() == 400
 
 
-# ---- the module ---------------------------------------------------------------------------------
+# ---- the dispatcher ---------------------------------------------------------------------------------
 
 
 def test_waiting_job_keeps_class_and_deficit():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -46,7 +46,7 @@
 class Request:
     spec: io.JobClass
     give_up: int
-    tries: list[Attempt] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     ended: bool = False
 
 
@@ -78,8 +78,8 @@
             request = self.requests[action.request]
             assert not request.ended, "rule 1: two final answers"
             assert self.now <= request.give_up + self.config.answer_grace, "rule 1: late answer"
-            assert not any(t.open for t in request.tries), "an attempt is still open"
-            if isinstance(action, io.Refuse) and any(t.may_have_run for t in request.tries):
+            assert not any(t.open for t in request.attempts), "an attempt is still open"
+            if isinstance(action, io.Refuse) and any(t.may_have_run for t in request.attempts):
                 spec = request.spec
                 assert spec.effect is io.Effect.SAFE or (
                     spec.effect is io.Effect.KEYED and spec.scope is io.Scope.ALL
@@ -87,7 +87,7 @@
             request.ended = True
         elif isinstance(action, io.Cancel):
             assert self.config.may_cancel
-            assert action.attempt < len(self.requests[action.request].tries)
+            assert action.attempt < len(self.requests[action.request].attempts)
         elif isinstance(action, io.Probe):
             assert self.config.may_probe
         elif isinstance(action, io.SendMessage):
@@ -99,17 +99,17 @@
         assert (
             not request.ended and self.now <= request.give_up
         ), "rule 1: sent after the final answer or deadline"
-        assert len(request.tries) < self.config.try_limit
+        assert len(request.attempts) < self.config.try_limit
         assert worker.state is io.State.READY, "rule 3: sent to a worker that drains or is gone"
         assert spec.kind in (-1, worker.kind)
-        assert self.config.may_hedge or not any(t.open for t in request.tries)
-        for earlier in request.tries:
+        assert self.config.may_hedge or not any(t.open for t in request.attempts)
+        for earlier in request.attempts:
             if earlier.may_have_run and spec.effect is not io.Effect.SAFE:
                 assert spec.effect is io.Effect.KEYED, "rule 2: unsafe resent"
                 assert self.now < earlier.sent + spec.window, "rule 2: window"
                 assert spec.scope is not io.Scope.ZONE or earlier.worker.zone == worker.zone, "rule 2: zone"
                 assert spec.scope is not io.Scope.CELL or earlier.worker.cell == worker.cell, "rule 2: cell"
-        request.tries.append(Attempt(worker, self.now))
+        request.attempts.append(Attempt(worker, self.now))
         self.check_slow_start(worker, action.request)
 
     def check_slow_start(self, worker, request):
@@ -136,7 +136,7 @@
 
     def end(self, number, attempt, result):
         request = self.requests[number]
-        tried_attempt = request.tries[attempt]
+        tried_attempt = request.attempts[attempt]
         tried_attempt.open = False
         if result in io.NEVER_RAN:
             tried_attempt.may_have_run = False
@@ -151,7 +151,7 @@
         """Deliver timers, and timeouts at the clients' deadlines, in order of time."""
         while True:
             due = [at for at in self.timers if at <= until]
-            deadlines = [r.give_up for r in self.requests.values() if any(t.open for t in r.tries)]
+            deadlines = [r.give_up for r in self.requests.values() if any(t.open for t in r.attempts)]
             at = min([*due, *(cut for cut in deadlines if cut <= until)], default=None)
             if at is None:
                 self.now = until
@@ -162,7 +162,7 @@
                 self.feed(io.Timer(at))
             for number, request in list(self.requests.items()):
                 if request.give_up <= self.now:
-                    for attempt, tried_attempt in enumerate(request.tries):
+                    for attempt, tried_attempt in enumerate(request.attempts):
                         if tried_attempt.open:
                             self.end(number, attempt, io.Result.TIMEOUT)
             assert not self.overdue(), "rule 1: unanswered"
@@ -184,7 +184,7 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from([io.Result.OK, io.Result.ERROR])),
     st.tuples(st.just("wait"), st.sampled_from([1, 4_000, 100_000, 900_000])),
     st.tuples(st.just("list"), st.lists(WORKER, max_size=6, unique_by=lambda w: w.worker), st.booleans()),
-    st.tuples(st.just("note"), st.integers(0, 50), st.booleans()),
+    st.tuples(st.just("progress"), st.integers(0, 50), st.booleans()),
     st.tuples(st.just("extra_event"), st.integers(0, 5)),
 )
 
@@ -219,7 +219,7 @@
     world.feed(io.WorkerList(io.Listing.CACHED, tuple(workers)))
     number = 0
     for kind, *rest in steps:
-        sent = [(n, a) for n, r in world.requests.items() for a, t in enumerate(r.tries) if t.open]
+        sent = [(n, a) for n, r in world.requests.items() for a, t in enumerate(r.attempts) if t.open]
         if kind == "arrive":
             number += 1
             world.requests[number] = Request(CLASSES[rest[0]], world.now + DEADLINE)
@@ -238,9 +238,9 @@
             world.feed(io.WorkerList(io.Listing.WHOLE if whole else io.Listing.CHANGES, tuple(rest[0])))
         elif kind == "end" and sent:
             world.end(*sent[rest[0] % len(sent)], rest[1])
-        elif kind == "note" and sent:
+        elif kind == "progress" and sent:
             request, attempt = sent[rest[0] % len(sent)]
-            worker = world.requests[request].tries[attempt].worker.worker
+            worker = world.requests[request].attempts[attempt].worker.worker
             world.feed(io.ProgressReport(request, attempt, worker, 0.5 if rest[1] else None))
         elif kind == "extra_event" and number:
             oldest = world.requests[1 + rest[0] % number]
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -1,4 +1,4 @@
-"""What was learned under one deployment's settings must not be applied to another's, at SIGHUP or upgrade."""
+"""What was learned under one deployment's settings is not applied to another's, at SIGHUP or upgrade."""
 
 import json
 import tomllib
@@ -71,9 +71,9 @@
 
 def test_averages_follow_class_names():
     dispatcher = trained_dispatcher()
-    work, span = dispatcher.context.mean_work, dispatcher.max_client_waits[0]
+    work, client_wait = dispatcher.context.mean_work, dispatcher.max_client_waits[0]
     dispatcher.handle(30_000_000, [io.SettingsChange(settings(UNSAFE, SAFE), [1, 0], [0, 1])])
-    assert dispatcher.context.mean_work == work and dispatcher.max_client_waits == [0, span]
+    assert dispatcher.context.mean_work == work and dispatcher.max_client_waits == [0, client_wait]
 
 
 def test_shorter_deadline_keeps_arrival_time():
@@ -167,8 +167,8 @@
     with World(tmp_path, workers=2, settings=MACHINES, held=True) as world:
         peer, _ = world.accept_watch()
         ports = [worker.port for worker in world.workers]
-        told = [member_of_kind("s-0", ports[0], "plain"), member_of_kind("s-1", ports[1], "press")]
-        peer.answer(200, json.dumps({"revision": 9, "complete": True, "members": told}).encode())
+        members = [member_of_kind("s-0", ports[0], "plain"), member_of_kind("s-1", ports[1], "press")]
+        peer.answer(200, json.dumps({"revision": 9, "complete": True, "members": members}).encode())
         peer.read()
         world.config_path.write_text(json.dumps({**world.config, "settings": SWAPPED}))
         old, _ = world.upgrade()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,7 +12,7 @@
 NOW = 20_000_000
 
 
-def cold(*workers, at=NOW):
+def cold_listing(*workers, at=NOW):
     return listing(*(io.WorkerEntry(worker, started=at) for worker in workers), kind=io.Listing.CHANGES)
 
 
@@ -31,7 +31,7 @@
 def test_cold_runs_do_not_change_learned_slowdown():
     dispatcher = started(settings(), 1, 2)
     dispatcher.handle(
-        NOW, [listing(io.WorkerEntry(2, state=io.State.GONE), kind=io.Listing.CHANGES), cold(1)]
+        NOW, [listing(io.WorkerEntry(2, state=io.State.GONE), kind=io.Listing.CHANGES), cold_listing(1)]
     )
     worker, share = dispatcher.fleet.workers[1], settings().cold_start_share
     for step in range(40):
@@ -46,7 +46,7 @@
 
 def test_cold_worker_has_higher_slowdown():
     dispatcher = started(settings(), 1, 2)
-    dispatcher.handle(NOW, [cold(1)])
+    dispatcher.handle(NOW, [cold_listing(1)])
     actions = dispatcher.handle(NOW, [arrival(7, now=NOW, hint=60_000)])
     assert [send.worker for send in only(io.Send, actions)] == [2]
     context = dispatcher.context
@@ -58,7 +58,7 @@
     """A sample holds few of so many workers, and an allowance not used in its window was lost."""
     dispatcher = started(settings(), *range(1, 301))
     dispatcher.context.carried.per_s = 1e9
-    dispatcher.handle(NOW, [cold(300)])
+    dispatcher.handle(NOW, [cold_listing(300)])
     for worker in dispatcher.fleet.pool(-1):
         worker.outstanding_work = 0.0 if worker.id == 300 else 400_000.0
         worker.outstanding_slots = 0.0 if worker.id == 300 else 2.0
@@ -71,7 +71,7 @@
     sent = dict.fromkeys(range(1, 6), 0)
     for position in range(50):
         dispatcher = started(config, *range(1, 6), seed=position)
-        dispatcher.handle(NOW, [cold(*sent)])
+        dispatcher.handle(NOW, [cold_listing(*sent)])
         for step in range(40):  # one window, more than two hundred jobs for each worker
             now = NOW + step * 50_000
             for send in only(io.Send, dispatcher.handle(now, [arrival(step, now=now)])):
@@ -87,7 +87,7 @@
     dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
     context = dispatcher.context
     context.carried.per_s = 1e5  # two jobs per second at a warm worker
-    dispatcher.handle(NOW, [cold(2)])
+    dispatcher.handle(NOW, [cold_listing(2)])
     for step in range(8):  # jobs sent to the warm worker are queued there
         context.level.record_wait(1e6, NOW + step)
         context.level.waiting = 50
@@ -106,9 +106,9 @@
     assert ends.count((io.Refuse, 0)) > 30
 
 
-def test_spared_job_refused_when_worker_taken():
+def test_immediate_only_job_refused_when_worker_busy():
     dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
-    dispatcher.handle(NOW, [cold(2)])
+    dispatcher.handle(NOW, [cold_listing(2)])
     dispatcher.context.level.waiting = 50
     for step in range(8):
         dispatcher.context.level.record_wait(1e6, NOW + step)
@@ -124,23 +124,23 @@
 def test_shedding_prefers_cold_worker_with_allowance():
     """Its allowance is lost with its window, and a wait not yet seen was assumed to be short."""
 
-    def sent(level_up):
+    def sent_to(shedding):
         dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), *range(1, 4))
-        dispatcher.handle(NOW, [cold(3)])
+        dispatcher.handle(NOW, [cold_listing(3)])
         dispatcher.slow_start.workers_with_allowance()
         dispatcher.fleet.workers[3].cold_left = 1e6
-        dispatcher.context.level.shedding = level_up
+        dispatcher.context.level.shedding = shedding
         dispatcher.context.level.record_wait(2e4, NOW)  # between the thresholds for falling and rising
         return [
             send.worker for send in only(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
         ]
 
-    assert sent(True) == [3]
-    assert sent(False) != [3]
+    assert sent_to(True) == [3]
+    assert sent_to(False) != [3]
 
 
 def test_zero_cold_share_does_not_fail():
     dispatcher = started(settings(cold_start_share=0.0), 1, 2)
-    dispatcher.handle(NOW, [cold(1, 2)])
+    dispatcher.handle(NOW, [cold_listing(1, 2)])
     assert dispatcher.handle(NOW, [arrival(1, now=NOW)]) is not None
     assert dispatcher.context.slowdown(dispatcher.fleet.workers[1]) > 1
--- a/tests/test_slow_start_total.py
+++ b/tests/test_slow_start_total.py
@@ -18,7 +18,7 @@
 
 WORK_US = 50_000  # of a mean job on a warm worker's slot
 SLOTS = 2
-WARM, COLD = 5, 3  # workers of each sort
+WARM, COLD = 5, 3  # numbers of workers
 JOINED_US = 20_000_000  # when the cold workers start
 ENDS_US = JOINED_US + 6_000_000
 LEARNING_TIME_US = 4_000_000  # how long the known schedulers have served before
@@ -102,14 +102,14 @@
     def max_excess(self, worker):
         """Return the calls above the budget in the fullest window; below 0 if none is over."""
         sends, window = self.sent[worker], self.config.fall_window
-        over = -math.inf
+        max_excess = -math.inf
         for at, begins in enumerate(sends):
             calls = bisect_left(sends, begins + window) - at
             capacity = SLOTS * self.capacity_share(worker, begins) / WORK_US
             allowed = self.config.fall_multiple * capacity * window
             slack = 2 * math.sqrt(allowed) + 2 if allowed >= 30 else 3 * math.sqrt(allowed) + 3
-            over = max(over, calls - allowed - slack)
-        return over
+            max_excess = max(max_excess, calls - allowed - slack)
+        return max_excess
 
 
 @pytest.mark.parametrize("fall_multiple", [3.0, 4.0])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize("name", EXAMPLES)
 def test_record_examples_round_trip(name):
-    text, shapes = EXAMPLES[name]
+    text, layouts = EXAMPLES[name]
     raw = bytes.fromhex(text)
-    ((code, fields),) = decode_records(raw, 0, 1, shapes)
-    assert shapes[code].name == name
-    assert encode_record(code, fields, shapes) == raw
+    ((code, fields),) = decode_records(raw, 0, 1, layouts)
+    assert layouts[code].name == name
+    assert encode_record(code, fields, layouts) == raw
 
 
 def test_frame_examples_round_trip():
@@ -65,19 +65,19 @@
     assert records[2] == (wire.Ev.ABANDONED, (5, 0x0E6F2B19))
 
 
-@pytest.mark.parametrize("shapes", [EVENTS, ACTIONS])
-def test_every_record_round_trips(shapes):
-    for code, shape in shapes.items():
-        raw = bytes((code,)) + bytes(range(1, shape.fixed.size + 1))
+@pytest.mark.parametrize("layouts", [EVENTS, ACTIONS])
+def test_every_record_round_trips(layouts):
+    for code, layout in layouts.items():
+        raw = bytes((code,)) + bytes(range(1, layout.fixed.size + 1))
         raw += {
             "": b"",
             "text16": b"\x02\x00ab",
             "text32": b"\x02\x00\x00\x00ab",
             "floats8": b"\x01\x00\x00\x80\x3f",
             "entries32": b"\x01\x00\x00\x00" + bytes(range(24)),
-        }[shape.tail]
-        ((got, fields),) = decode_records(raw, 0, 1, shapes)
-        assert got == code and encode_record(code, fields, shapes) == raw
+        }[layout.tail]
+        ((got, fields),) = decode_records(raw, 0, 1, layouts)
+        assert got == code and encode_record(code, fields, layouts) == raw
 
 
 MALFORMED = {
