--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -173,8 +173,8 @@
 
     def _handle(self, instance: int, now: int, events: list[Event]) -> None:
         for action in self.dispatchers[instance].handle(now, events):
-            code, fields_of = ENCODERS[type(action)]
-            self.reply.append(wire.encode_record(code, fields_of(instance, action), ACTIONS))
+            code, to_fields = ENCODERS[type(action)]
+            self.reply.append(wire.encode_record(code, to_fields(instance, action), ACTIONS))
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -188,7 +188,7 @@
 
 
 def restore_memory(dispatcher: DispatcherParts, event: io.Inherit) -> None:
-    """Restore what was learned of all workers, and of the classes and tenants that exist here too."""
+    """Restore the state of all workers, and of the classes and tenants that exist here too."""
     memory, context = event.memory, dispatcher.context
     context.fleet.out.update(memory.out)
     _restore_workers(
--- a/carthinge/records.py
+++ b/carthinge/records.py
@@ -216,7 +216,7 @@
         return len(self.attempts) >= min(self.tries, limit)
 
     def retry_is_safe(self) -> bool:
-        """Return whether a client may safely send it again, whatever has run so far."""
+        """Return whether a client may safely send it again, given what may have run."""
         everywhere = self.spec.effect is io.Effect.KEYED and self.spec.scope is io.Scope.ALL
         return self.spec.effect is io.Effect.SAFE or everywhere or self.never_ran()
 
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -114,7 +114,7 @@
             self.list_changed()
 
     def retune(self, kinds: Sequence[int] | None) -> None:
-        """Apply new settings: the statistics of a machine kind move to its new position.
+        """Move the statistics of each machine kind to its new position after a change of settings.
 
         ``kinds`` has the old position of each kind, -1 for a new one; None if all stay as they are.
         """
