--- a/carthinge/fleet/agenda.py
+++ b/carthinge/fleet/agenda.py
@@ -17,7 +17,7 @@
         self._count = 0
 
     def at(self, due: timedelta, call: Call) -> None:
-        """Schedules a call; one in the past is made at the next run."""
+        """Schedule a call; one in the past is made at the next run."""
         self._count += 1
         heappush(self._heap, (due, self._count, call))
 
@@ -26,10 +26,10 @@
         return self._heap[0][0]
 
     def run(self, now: timedelta) -> None:
-        """Makes all calls due by now, including those that they schedule."""
+        """Make all calls due by now, including those that they schedule."""
         while self._heap and self._heap[0][0] <= now:
             heappop(self._heap)[2](now)
 
     def clear(self) -> None:
-        """Cancels all calls."""
+        """Cancel all calls."""
         self._heap.clear()
--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -18,33 +18,33 @@
 from carthinge.fleet.quota_lending import BUSY, IDLE, NEIGHBOURS, BudgetRequest, budget_id
 from carthinge.fleet.retry_budget import EARNED_PER_SERVED_JOB
 
-UNITS_PER_RETRY: Final = 1000  # in a retry
-PIECES: Final = 8  # in which the maximal balance is transferred
-MAX_PENDING: Final = 2 * NEIGHBOURS  # requests; one that is older than two passes over the givers is dropped
+UNITS_PER_RETRY: Final = 1000
+PIECES: Final = 8  # the maximal balance is transferred in that many pieces
+MAX_PENDING: Final = 2 * NEIGHBOURS  # requests; older ones than two passes over the givers are dropped
 
 
 class BudgetTransfer:
     """One member's requests and grants."""
 
     def __init__(self, number: int) -> None:
-        """``number``: requests are numbered from it on; higher than in the previous run if possible."""
+        """``number``: the number before the first request's; higher than in the previous run if possible."""
         self.given = self.taken = 0  #: units in total, for the metrics
         self.budget, self.max_retries = -1, 0.0
         self._number = number
-        self._pending: dict[int, str] = {}  # number and giver
+        self._pending: dict[int, str] = {}  # giver by number
         self._answered: dict[str, int] = {}  # the last number of each taker
 
     def set_max_retries(self, max_retries: float) -> None:
-        """Sets the maximal balance; members with another one have another budget."""
+        """Set the maximal balance; units are exchanged only among members with the same one."""
         if max_retries != self.max_retries:
             self.max_retries, self.budget = (
                 max_retries,
                 budget_id("\0attempts", EARNED_PER_SERVED_JOB, max_retries),
             )
 
-    def make_request(self, left: float, givers: Sequence[str]) -> BudgetRequest | None:
-        """Returns a request if the balance ``left`` is low; called once a period."""
-        if not givers or left >= BUSY * self.max_retries:
+    def make_request(self, retries_left: float, givers: Sequence[str]) -> BudgetRequest | None:
+        """Return a request if the balance ``retries_left`` is low; called once a period."""
+        if not givers or retries_left >= BUSY * self.max_retries:
             return None
         self._number += 1
         giver = givers[self._number % len(givers)]
@@ -53,20 +53,20 @@
             del self._pending[next(iter(self._pending))]
         return BudgetRequest(giver, self.budget, self._number, self._piece())
 
-    def grant(self, taker: str, number: int, units: int, left: float, takers: Sequence[str]) -> int:
-        """Returns the units to transfer, which the caller deducts from the balance ``left``; 0 for none."""
+    def grant(self, taker: str, number: int, units: int, retries_left: float, takers: Sequence[str]) -> int:
+        """Return the units to transfer, or 0; the caller deducts them from the balance ``retries_left``."""
         if number <= self._answered.get(taker, -1) or taker not in takers:
             return 0
         self._answered = {name: last for name, last in self._answered.items() if name in takers}
         self._answered[taker] = number
-        units = min(units, self._piece(), int((left - IDLE * self.max_retries) * UNITS_PER_RETRY))
+        units = min(units, self._piece(), int((retries_left - IDLE * self.max_retries) * UNITS_PER_RETRY))
         if units <= 0:
             return 0
         self.given += units
         return units
 
     def receive(self, giver: str, number: int, units: int) -> int:
-        """Returns the units to add to the balance: those of a pending request, once; else 0."""
+        """Return the units to add to the balance: those of a pending request, once; else 0."""
         if self._pending.get(number) != giver or not 0 < units <= self._piece():
             return 0
         del self._pending[number]
--- a/carthinge/fleet/codec.py
+++ b/carthinge/fleet/codec.py
@@ -24,7 +24,7 @@
 
 
 def encode(packet: Packet, key: bytes) -> bytes:
-    """Returns at most ``MAX_PACKET_BYTES``, or raises ValueError.  With an empty ``key`` there is no MAC."""
+    """Return at most ``MAX_PACKET_BYTES``, or raise ValueError.  With an empty ``key`` there is no MAC."""
     body = VERSION + _ENCODER.encode(packet)
     data = _mac(body, key) + body
     if len(data) > MAX_PACKET_BYTES:
@@ -33,12 +33,12 @@
 
 
 def decode(data: bytes, key: bytes) -> Packet:
-    """Raises BadPacketError for anything that ``encode`` with the same key did not make."""
+    """Return the packet; raise BadPacketError for anything that ``encode`` with this key did not make."""
     if len(data) > MAX_PACKET_BYTES:
         raise BadPacketError("the packet is too long")
-    start = MAC_BYTES if key else 0
-    body = data[start:]
-    if key and not hmac.compare_digest(_mac(body, key), data[:start]):
+    mac_bytes = MAC_BYTES if key else 0
+    body = data[mac_bytes:]
+    if key and not hmac.compare_digest(_mac(body, key), data[:mac_bytes]):
         raise BadPacketError("the MAC is not valid for this key")
     if body[:2] != VERSION:
         raise BadPacketError("unknown version, or not a packet")
--- a/carthinge/fleet/fleet_node.py
+++ b/carthinge/fleet/fleet_node.py
@@ -28,35 +28,35 @@
 from carthinge.fleet.summary import MAX_PRESSURE, MAX_RETRIES, MICROSECOND, Summaries
 
 CLEANUP_INTERVAL: Final = 64  # periods
-LEVEL_FRESH_PERIODS: Final = 3  # for which reported levels are used: load changes within seconds
-SHARE_AHEAD: Final = 1.5  # periods for which shares have to hold: a round may be late
+LEVEL_FRESH_PERIODS: Final = 3  # age limit of reported levels: load changes within seconds
+SHARE_VALIDITY_PERIODS: Final = 1.5  # a share has to hold that long: a round may be late
 
 
 @dataclass(frozen=True, slots=True)
 class Observations:
     """What the scheduler itself observes."""
 
-    failures: Mapping[int, int] = field(default_factory=dict)  #: in a row, of each suspected worker
-    healthy_at: Mapping[int, timedelta] = field(default_factory=dict)  #: last signs of life, if requested
-    workers: int = 0  #: that are listed
+    failures: Mapping[int, int] = field(default_factory=dict)  #: consecutive, by suspected worker
+    #: The last sign of life by worker, of those that were asked for.
+    healthy_at: Mapping[int, timedelta] = field(default_factory=dict)
+    workers: int = 0  #: number of listed workers
     fill_levels: Mapping[int, float] = field(default_factory=dict)  #: of the lendable quotas, 0 to 1
     pressure: float = 0.0
-    levels: Mapping[int, int] = field(
-        default_factory=dict
-    )  #: shed here by cell, per cent, largest cell first
+    #: What the own level sheds by cell, in per cent; the largest cell comes first.
+    levels: Mapping[int, int] = field(default_factory=dict)
     retries_spent: float = 0.0  #: since the last call
     retries_left: float = 0.0
-    max_retries: float = 0.0  #: that the retry budget holds
+    max_retries: float = 0.0  #: maximal balance of the retry budget
 
 
 class Scheduler(Protocol):
-    """The scheduler that takes part."""
+    """The scheduler that the node belongs to."""
 
     def observe(self, workers: Collection[int]) -> Observations:
         """The current observations, with the last signs of life of these workers."""
 
     def retry_budget_left(self) -> float:
-        """The current retry budget, without what was just given away."""
+        """The current retry budget, less what was given away just now."""
 
 
 @dataclass(slots=True)
@@ -64,10 +64,10 @@
     """The current joint decisions, as seen by this member."""
 
     ejections: EjectionDecision = field(default_factory=EjectionDecision)
-    levels: dict[int, int] = field(default_factory=dict)  #: agreed ones, of each cell with enough votes
+    levels: dict[int, int] = field(default_factory=dict)  #: agreed, by cell with enough votes
     pressure: float = 0.0  #: the median
-    shares: dict[int, float] = field(default_factory=dict)  #: of each quota; 1.0 is the member's own
-    voters: int = 1  #: members with a fresh summary, with this one
+    shares: dict[int, float] = field(default_factory=dict)  #: by quota; 1.0 is the member's own share
+    voters: int = 1  #: members with a fresh summary, including this one
 
 
 class FleetNode:
@@ -82,7 +82,7 @@
         scheduler: Scheduler,
         now: timedelta,
     ) -> None:
-        """``run_id``: drawn at random at the start.  ``budgets``: those that may be lent, the same at all."""
+        """``run_id``: drawn at random at the start.  ``budgets``: lendable, the same at all members."""
         self.membership, self.scheduler, self.period = membership, scheduler, membership.period
         self.summaries = Summaries(layout, self.period)
         self.ledger = Ledger(membership.name, budgets, self.period, now, membership.gossip.incarnation)
@@ -94,8 +94,8 @@
         self._transferred = 0
         self._run_id, self._layout = run_id, layout
         self._fill_levels: Mapping[int, float] = {}
-        self._suspected: dict[int, tuple[int, timedelta]] = {}  # own suspicions: failures in a row, and since
-        self._cleared: dict[int, timedelta] = {}  # of these the ones whose worker was found healthy since
+        self._suspected: dict[int, tuple[int, timedelta]] = {}  # own: consecutive failures, since when
+        self._cleared: dict[int, timedelta] = {}  # own suspicions that were cleared, with their times
         self._observed_workers: set[int] = set()
         self._next_round = now
 
@@ -104,7 +104,7 @@
         return min(self._next_round, self.membership.due())
 
     def tick(self, now: timedelta) -> list[OutgoingPacket]:
-        """Does what is due; the round, once a period, comes before the membership sends the new summary."""
+        """Do what is due; the round, once a period, precedes the membership, which sends the new summary."""
         out = []
         if now >= self._next_round and not self.membership.left:
             self._next_round = now + self.period
@@ -113,7 +113,7 @@
         return out + self.membership.tick(now)
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
-        """Handles a message; returns the messages to send at once."""
+        """Handle a message; return the messages to send at once."""
         out = self.membership.handle_packet(now, packet)
         sender = self.membership.members.get(packet.name)
         if sender is None or sender.state not in LIVE or self.membership.left:
@@ -141,12 +141,12 @@
         return out + self.membership.gossip.take_queued()
 
     def take_transferred_retries(self) -> float:
-        """The retries received since the last call; below 0: given away."""
+        """Return the retries received since the last call; negative if more were given away."""
         transferred, self._transferred = self._transferred / UNITS_PER_RETRY, 0
         return transferred
 
     def apply_settings(self, now: timedelta, layout: int, budgets: Collection[int]) -> None:
-        """Applies new tenants, classes or quotas; loans of a budget that remains are kept."""
+        """Apply new tenants, classes or quotas; loans of a budget that remains are kept."""
         self._layout = self.summaries.layout = layout
         self.ledger.budgets = budgets
         self._fill_levels = {}
@@ -156,10 +156,13 @@
     def standalone_shares(self, now: timedelta) -> dict[int, float]:
         """The shares for a scheduler that leaves the fleet: without borrowed units, less the lent ones."""
         ledger = self.ledger
-        return {budget: ledger.available_units(now, budget, ledger.span) / BASE for budget in ledger.budgets}
+        return {
+            budget: ledger.available_units(now, budget, ledger.loan_duration) / BASE
+            for budget in ledger.budgets
+        }
 
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
-        """Returns the messages that tell all members that this scheduler leaves."""
+        """Return the messages that tell all members that this scheduler leaves."""
         self._next_round = now + self.period * CLEANUP_INTERVAL
         return self.membership.leave(now)
 
@@ -167,9 +170,9 @@
         self.rounds += 1
         members = {member.name: member for member in self.membership.live_members()}
         self.ledger.set_members(members.keys())
-        facts = self.scheduler.observe(self._observed_workers)
-        self._fill_levels = facts.fill_levels
-        any_new = self._update_suspected(now, facts.failures)
+        observed = self.scheduler.observe(self._observed_workers)
+        self._fill_levels = observed.fill_levels
+        has_new = self._update_suspected(now, observed.failures)
         received = self.summaries.fresh(now, members.keys())
         oldest = now - self.period * LEVEL_FRESH_PERIODS
         levels = [other.levels for other in received.values() if other.at >= oldest]
@@ -179,23 +182,23 @@
             if self._cleared.get(worker) != since
         }
         decision = self.ejections.decide(
-            now, suspected, facts.healthy_at, received, members.keys(), facts.workers
+            now, suspected, observed.healthy_at, received, members.keys(), observed.workers
         )
         self._cleared |= {worker: suspected[worker] for worker in decision.cleared}
         self._observed_workers = self.ejections.observed_workers()
         self.view = View(
             decision,
-            agreed_levels(facts.levels, levels),
-            agreed(facts.pressure, [other.pressure for other in received.values()]),
+            agreed_levels(observed.levels, levels),
+            agreed(observed.pressure, [other.pressure for other in received.values()]),
             self._shares(now),
             1 + len(received),
         )
         self.changes += 1
-        self.membership.gossip.summary = self._summary(now, facts, suspected)
-        if any_new:  # own suspicions, at most once a period: reported to all members at once
+        self.membership.gossip.summary = self._summary(now, observed, suspected)
+        if has_new:  # own suspicions, at most once a period: reported to all members at once
             for member in members.values():
                 self.membership.gossip.queue(PacketKind.GOSSIP, member)
-        for request in self.ledger.make_requests(now, facts.fill_levels):
+        for request in self.ledger.make_requests(now, observed.fill_levels):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
                 members[request.lender],
@@ -203,8 +206,8 @@
                 budget_id=request.budget,
                 units=request.units,
             )
-        self.retry_transfer.set_max_retries(facts.max_retries)
-        if retries := self.retry_transfer.make_request(facts.retries_left, self.ledger.lenders()):
+        self.retry_transfer.set_max_retries(observed.max_retries)
+        if retries := self.retry_transfer.make_request(observed.retries_left, self.ledger.lenders()):
             self.membership.gossip.queue(
                 PacketKind.BUDGET_REQUEST,
                 members[retries.lender],
@@ -216,7 +219,7 @@
             self.summaries.retain(self.membership.members.keys())
 
     def _transfer_retries(self, packet: Packet, sender: Member) -> None:
-        """Handles a request for retry budget, or a grant."""
+        """Handle a request for retry budget, or a grant."""
         transfer, units = self.retry_transfer, packet.units
         if packet.kind is PacketKind.GRANT:
             self._transferred += transfer.receive(packet.name, packet.number, units)
@@ -231,37 +234,37 @@
 
     def _shares(self, now: timedelta) -> dict[int, float]:
         """The shares that hold at least until the next round: loans that end sooner are not counted."""
-        ahead = self.period * SHARE_AHEAD
+        ahead = self.period * SHARE_VALIDITY_PERIODS
         return {
             budget: self.ledger.available_units(now, budget, ahead) / BASE for budget in self.ledger.budgets
         }
 
     def _update_suspected(self, now: timedelta, failures: Mapping[int, int]) -> bool:
-        """Renews the suspicion of workers that failed once more; returns whether there is a new one."""
-        any_new = False
+        """Renew the suspicion of workers that failed once more; return whether there is a new one."""
+        has_new = False
         for worker in self._suspected.keys() - failures.keys():
             del self._suspected[worker]
             self._cleared.pop(worker, None)
-        for worker, times in failures.items():
+        for worker, count in failures.items():
             known = self._suspected.get(worker)
-            if known is None or times > known[0]:
-                any_new |= known is None
-                self._suspected[worker] = (times, now)
-            elif times < known[0]:
-                self._suspected[worker] = (times, known[1])
-        return any_new
-
-    def _summary(self, now: timedelta, facts: Observations, suspected: Mapping[int, timedelta]) -> Summary:
-        """Contains as much as fits: the latest suspicions, the largest cells."""
-        levels = [(cell, min(level, MAX_LEVEL)) for cell, level in list(facts.levels.items())[:MAX_CELLS]]
+            if known is None or count > known[0]:
+                has_new |= known is None
+                self._suspected[worker] = (count, now)
+            elif count < known[0]:
+                self._suspected[worker] = (count, known[1])
+        return has_new
+
+    def _summary(self, now: timedelta, observed: Observations, suspected: Mapping[int, timedelta]) -> Summary:
+        """Return a summary with as much as fits: the latest suspicions, the largest cells."""
+        levels = [(cell, min(level, MAX_LEVEL)) for cell, level in list(observed.levels.items())[:MAX_CELLS]]
         return Summary(
             self._run_id,
             self.rounds,
             self._layout,
-            _clamped(facts.pressure, MAX_PRESSURE),
+            _clamped(observed.pressure, MAX_PRESSURE),
             levels,
-            _clamped(facts.retries_spent, MAX_RETRIES),
-            _clamped(facts.retries_left, MAX_RETRIES),
+            _clamped(observed.retries_spent, MAX_RETRIES),
+            _clamped(observed.retries_left, MAX_RETRIES),
             _to_ages(now, suspected),
             _to_ages(now, self.ejections.healthy_at),
         )
@@ -286,9 +289,9 @@
         }
 
     def take_state_changes(self) -> list[tuple[str, MemberState]]:
-        """Members whose state has changed since the last call."""
-        news, self.membership.state_changes = self.membership.state_changes, []
-        return news
+        """Return the members whose state has changed since the last call."""
+        changes, self.membership.state_changes = self.membership.state_changes, []
+        return changes
 
 
 def _clamped(value: float, maximum: float) -> float:
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -20,7 +20,7 @@
 LIVE: Final = (MemberState.ALIVE, MemberState.SUSPECT)
 WITH_SUMMARY: Final = (PacketKind.PING, PacketKind.ACK, PacketKind.GOSSIP)
 
-OutgoingPacket = tuple[str, Packet]  # with the receiver's address
+OutgoingPacket = tuple[str, Packet]  # the receiver's address, and the message
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,7 @@
     incarnation: int
     state: MemberState
     since: timedelta  #: when it got that state
-    failed: int = 0  #: checks in a row
+    failed: int = 0  #: consecutive failed checks
 
 
 class Rumors:
@@ -44,31 +44,31 @@
         self._groups: list[dict[str, tuple[Rumor, int]]] = []
 
     def add(self, rumor: Rumor) -> None:
-        """Adds an update in place of an earlier one about the same member."""
+        """Add an update in place of an earlier one about the same member."""
         self.drop(rumor.name)
         self._insert(0, rumor, rumor.size())
 
     def drop(self, name: str) -> None:
-        """Drops the update about a member."""
+        """Drop the update about a member."""
         if (times := self._times_sent.pop(name, None)) is not None:
             del self._groups[times][name]
 
     def clear(self) -> None:
-        """Drops all updates."""
+        """Drop all updates."""
         self._times_sent.clear()
         self._groups.clear()
 
     def take(self, member_count: int) -> list[Rumor]:
-        """Returns as many updates as fit in a message and counts them as sent."""
-        max_times, room = 2 * (member_count + 1).bit_length(), MAX_RUMOR_BYTES
+        """Return as many updates as fit in a message and count them as sent."""
+        max_times, bytes_left = 2 * (member_count + 1).bit_length(), MAX_RUMOR_BYTES
         chosen: list[tuple[int, Rumor, int]] = []
         for times, group in enumerate(self._groups if self._times_sent else ()):
             for rumor, size in group.values():
-                room -= size
-                if room < 0:
+                bytes_left -= size
+                if bytes_left < 0:
                     break
                 chosen.append((times, rumor, size))
-            if room < 0:
+            if bytes_left < 0:
                 break
         for times, rumor, size in chosen:
             self.drop(rumor.name)
@@ -90,20 +90,20 @@
         self.name, self.address, self.incarnation = name, address, incarnation
         self.rumors = Rumors()
         self.summary: Summary | None = None  #: is sent with most messages
-        self.member_count = 0  #: determines how often an update is sent
+        self.member_count = 0  #: an update is sent more often among more members
         self._queued: list[OutgoingPacket] = []
 
     def take_queued(self) -> list[OutgoingPacket]:
-        """Returns and clears the queued messages."""
+        """Return and clear the queued messages."""
         queued, self._queued = self._queued, []
         return queued
 
     def announce(self, member: Member) -> None:
-        """Piggybacks the state of a member on the next messages."""
+        """Piggyback the state of a member on the next messages."""
         self.rumors.add(Rumor(member.name, member.state, member.incarnation, member.address))
 
     def refute(self, incarnation: int) -> None:
-        """Refutes to all that this scheduler is suspected or dead, with a higher incarnation."""
+        """Refute to all that this scheduler is suspected or dead, with a higher incarnation."""
         self.incarnation = incarnation + 1
         self.rumors.add(Rumor(self.name, MemberState.ALIVE, self.incarnation, self.address))
 
@@ -119,7 +119,7 @@
         budget_id: int = 0,
         units: int = 0,
     ) -> None:
-        """Queues a message to a member, with its state as seen here; ``incarnation``: of the target."""
+        """Queue a message to a member, with its state as seen here; ``incarnation``: of the target."""
         self._queued.append(
             (
                 to.address,
@@ -143,7 +143,7 @@
         )
 
     def ping_address(self, address: str) -> None:
-        """Queues a ping to an address without a known member."""
+        """Queue a ping to an address without a known member."""
         self._queued.append(
             (
                 address,
@@ -159,14 +159,14 @@
         )
 
     def queue_page(self, members: Sequence[Member], start: int, to: Member) -> None:
-        """Queues a page of the live members, sorted by name, with the position of the next page (0: none)."""
+        """Queue a page of the live members, sorted by name, with the position of the next page (0: none)."""
         page: list[Rumor] = []
-        room, position = MAX_PAGE_BYTES, start
+        bytes_left, position = MAX_PAGE_BYTES, start
         while position < len(members):
             member = members[position]
             rumor = Rumor(member.name, MemberState.ALIVE, member.incarnation, member.address)
-            room -= rumor.size()
-            if room < 0:
+            bytes_left -= rumor.size()
+            if bytes_left < 0:
                 break
             page.append(rumor)
             position += 1
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -26,13 +26,13 @@
 START_RATE_S: Final = 5.0  # time constant of the rate of starts
 INITIAL_STARTS: Final = 8.0  # starts per tolerable wait that are assumed until some were observed
 OFFERED_WORK_DECAY_S: Final = 5.0  # time constant of the offered work
-RANKS_PER_DOUBLING: Final = 4  # of the worth per work
-MAX_RANKS: Final = 64  # that are tracked
+RANKS_PER_DOUBLING: Final = 4  # of a job's worth per work
+MAX_TRACKED_RANKS: Final = 64
 POINT_RANGE: Final = 1 << 64
 
 
 def shedding_rank(over_share: bool, in_time: bool, worth: float) -> int:
-    """Returns the rank of a job; the lowest ranks are shed first: jobs over their tenant's share, then jobs
+    """Return the rank of a job; the lowest ranks are shed first: jobs over their tenant's share, then jobs
     that can no longer be in time, then by ``worth`` per work (any unit, the same at all schedulers)."""
     if over_share:
         return -2 << 16
@@ -54,18 +54,18 @@
     since: int = 0
 
     def add(self, rank: int, work: float, now: int) -> None:
-        """Adds a job's work; old work decays in steps."""
+        """Add a job's work; old work decays in steps."""
         decay = decay_factor(self.since, now, OFFERED_WORK_DECAY_S)
-        if decay < 0.9 or len(self.work) > MAX_RANKS:
-            largest = sorted(((value * decay, at) for at, value in self.work.items()), reverse=True)[
-                :MAX_RANKS
+        if decay < 0.9 or len(self.work) > MAX_TRACKED_RANKS:
+            largest = sorted(((value * decay, other) for other, value in self.work.items()), reverse=True)[
+                :MAX_TRACKED_RANKS
             ]
-            self.work, self.since = {at: value for value, at in largest if value >= 1}, now
+            self.work, self.since = {other: value for value, other in largest if value >= 1}, now
         self.work[rank] = self.work.get(rank, 0.0) + work
 
     def is_in_lowest(self, share: float, rank: int, point: int) -> bool:
         """Whether a job is in the lowest ``share`` of the work; within a rank jobs are ordered by point."""
-        below = sum(work for at, work in self.work.items() if at < rank)
+        below = sum(work for other, work in self.work.items() if other < rank)
         within = self.work.get(rank, 0.0) * (point % POINT_RANGE) / POINT_RANGE
         return below + within < share * sum(self.work.values())
 
@@ -74,8 +74,8 @@
     """The shedding level of one scheduler.  Times are microseconds on the caller's clock."""
 
     def __init__(self, tolerable_wait: float) -> None:
-        self.tolerable_wait = max(1.0, tolerable_wait)  # the tolerable wait for a start, a moving average
-        self.waiting = 0  # attempts that were sent and have not started, as far as starts are reported
+        self.tolerable_wait = max(1.0, tolerable_wait)  # for a start; a moving average
+        self.waiting = 0  # attempts sent but not started, as far as starts are reported
         self.shedding = False
         self.rises = 0  # times that shedding began
         self.shed = 0  # jobs
@@ -86,14 +86,14 @@
         self._logged_at, self._logged_rises = -1, 0
 
     def record_wait(self, wait: float, now: int) -> None:
-        """Records that an attempt started after ``wait``, or has waited that long and not started."""
+        """Record that an attempt started after ``wait``, or has waited that long and not started."""
         gain = min(0.5, max(0.1, 1 - decay_factor(self._average_wait_at, now, WAIT_AVERAGE_S)))
         self._average_wait += (max(0.0, wait) - self._average_wait) * gain
         self._average_wait_at = now
 
-    def record_end(self, begun: bool, served: bool, now: int) -> None:
-        """Records the end of an attempt; one that never started no longer waits."""
-        self.waiting -= not begun
+    def record_end(self, started: bool, served: bool, now: int) -> None:
+        """Record the end of an attempt; one that never started no longer waits."""
+        self.waiting -= not started
         if served:
             self._starts = self._starts * decay_factor(self._starts_at, now, START_RATE_S) + 1
             self._starts_at = now
@@ -104,9 +104,9 @@
             self._average_wait * decay_factor(self._average_wait_at, now, WAIT_DECAY_S) / self.tolerable_wait
         )
 
-    def expected_wait(self, run: float, now: int) -> float:
-        """The wait of an attempt that is sent now, relative to the tolerable wait; ``run`` is the running
-        time that a measured wait includes."""
+    def expected_wait(self, running_time: float, now: int) -> float:
+        """The wait of an attempt that is sent now, relative to the tolerable wait; ``running_time`` is
+        the part of a running time that a measured wait includes."""
         if self._first_estimate_at < 0:
             self._first_estimate_at = now
         unknown = decay_factor(self._first_estimate_at, now, START_RATE_S)  # the assumed starts fill this in
@@ -114,16 +114,16 @@
         rate = max(
             starts / (START_RATE_S * (1 - unknown) + self.tolerable_wait / 1e6 * unknown), 1 / START_RATE_S
         )
-        estimate = max(0.0, max(0, self.waiting) / rate * 1e6 - run)
+        estimate = max(0.0, max(0, self.waiting) / rate * 1e6 - running_time)
         self._expected_wait += (estimate - self._expected_wait) * (
             1 - decay_factor(self._expected_wait_at, now, EXPECTED_AVERAGE_S)
         )
         self._expected_wait_at = now
         return self._expected_wait / self.tolerable_wait
 
-    def kept_share(self, run: float, now: int) -> float:
-        """Updates the level and returns the share of the offered work that is kept."""
-        observed, expected = self.observed_wait(now), self.expected_wait(run, now)
+    def kept_share(self, running_time: float, now: int) -> float:
+        """Update the level and return the share of the offered work that is kept."""
+        observed, expected = self.observed_wait(now), self.expected_wait(running_time, now)
         if not self.shedding and (observed > RAISE_THRESHOLD or expected > RAISE_THRESHOLD * STALL_FACTOR):
             self.shedding = True
             self.rises += 1
@@ -136,7 +136,7 @@
         )
 
     def log_line(self, now: int) -> str:
-        """Returns a log line if shedding has begun since the last one, at most one per interval; else ""."""
+        """Return a log line if shedding has started since the last one, at most one per interval; else ""."""
         if self.rises == self._logged_rises or 0 <= self._logged_at > now - LOG_INTERVAL_S * 1e6:
             return ""
         self._logged_at, self._logged_rises = now, self.rises
@@ -154,11 +154,13 @@
             "attempts_waiting": max(0, self.waiting),
         }
 
-    def sheds(self, rank: int, work: float, tolerable_wait: float, point: int, run: float, now: int) -> bool:
+    def sheds(
+        self, rank: int, work: float, tolerable_wait: float, point: int, running_time: float, now: int
+    ) -> bool:
         """Whether to shed a job that has just arrived, by its rank, and by its point within the rank."""
         self.tolerable_wait += (max(1.0, tolerable_wait) - self.tolerable_wait) * 0.05
         self._offered.add(rank, work, now)
-        kept = self.kept_share(run, now)
+        kept = self.kept_share(running_time, now)
         shed = kept < 1 and self._offered.is_in_lowest(1 - kept, rank, point)
         self.shed += shed
         return shed
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -20,7 +20,7 @@
 
 
 class Membership:
-    """One scheduler's view of all.  All intervals follow from ``period``; only what is returned is sent."""
+    """One scheduler's view of the fleet.  Intervals follow from ``period``; only what is returned is sent."""
 
     def __init__(
         self,
@@ -48,13 +48,13 @@
         self._rng = Random(seed)
         self._agenda = Agenda()
         self._last_number = self._rounds = 0
-        self._ping_order: list[str] = []  # the rest of this pass over all members; gossip has its own
-        self._gossip_order: list[str] = []
+        self._ping_order: list[str] = []  # names left in this pass over all members
+        self._gossip_order: list[str] = []  # the same for gossip
         self._checks: dict[int, Member] = {}  # in progress, by number
-        self._starts, self._net_failed = 1, 0  # checks: started per period; failed in it less passed
+        self._new_checks, self._net_failed = 1, 0  # per period: checks to start; failed minus passed ones
         self._page_start = 0  # the position in another member's list to request next
         self._awaiting_page = False
-        self._joining = True  # the whole list is requested
+        self._joining = True  # until the whole list has been received
         self._last_active = now
         self._agenda.at(now, self._round)
 
@@ -79,13 +79,13 @@
     # ---- events ------------------------------------------------------------------------------
 
     def tick(self, now: timedelta) -> list[OutgoingPacket]:
-        """Does what is due by now; returns the messages to send."""
+        """Do what is due by now; return the messages to send."""
         self._detect_pause(now)
         self._agenda.run(now)
         return self.gossip.take_queued()
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
-        """Handles a message; returns the messages to send at once."""
+        """Handle a message; return the messages to send at once."""
         if packet.name == self.name or self.left:
             return []
         self._detect_pause(now)
@@ -98,7 +98,7 @@
         return self.gossip.take_queued()
 
     def leave(self, now: timedelta) -> list[OutgoingPacket]:
-        """Returns the messages that tell all members that this scheduler leaves, and stops."""
+        """Return the messages that tell all members that this scheduler leaves, and stop."""
         self.left = True
         for member in self.live_members():
             self.gossip.queue(PacketKind.LEAVE, member)
@@ -109,7 +109,7 @@
     # ---- rounds ------------------------------------------------------------------------------
 
     def _detect_pause(self, now: timedelta) -> None:
-        """Rejoins after this process was stopped: its failed checks would say nothing about the others."""
+        """Rejoin after this process was stopped: its failed checks would say nothing about the others."""
         paused, self._last_active = now - self._last_active > limits.MAX_PAUSE * self.period, now
         if paused:
             self._former = [member.address for member in self.live_members()]
@@ -124,7 +124,7 @@
             self._agenda.at(now, self._round)
 
     def _round(self, now: timedelta) -> None:
-        """Once a period: starts checks, sends gossip, pings an unreachable member and continues the sync."""
+        """Once a period: start checks, send gossip, ping an unreachable member and continue the sync."""
         if self.left:
             return
         self._rounds += 1
@@ -145,17 +145,17 @@
                 self._request_page(self._rng.choice(live))
         if self._rounds % limits.CLEANUP_INTERVAL == 0:
             for member in [
-                one for one in self._gone.values() if now - one.since > self.period * limits.RETENTION
+                gone for gone in self._gone.values() if now - gone.since > self.period * limits.RETENTION
             ]:
                 self._remove(member)
 
     def _start_checks(self, now: timedelta) -> None:
-        """Starts one check, and twice as many as in the last period while most checks fail: then a large part
+        """Start one check, and twice as many as in the last period while most checks fail: then a large part
         of the fleet is gone, and updates spread slowly, as most go to members that are gone as well.  These
         checks take at most half of the limit; the other half is for suspects that other members announce."""
-        self._starts = min(2 * self._starts, self._max_checks() // 2) if self._net_failed > 0 else 1
+        self._new_checks = min(2 * self._new_checks, self._max_checks() // 2) if self._net_failed > 0 else 1
         self._net_failed = 0
-        for _ in range(self._starts):
+        for _ in range(self._new_checks):
             if (member := self._next_member(self._ping_order)) is not None and not self._in_check(member):
                 self._start_check(now, member)
 
@@ -178,7 +178,7 @@
         return None
 
     def _ping_unreachable(self) -> None:
-        """Pings some members and seeds that are not live: they may be back, or a partition healed."""
+        """Ping some members and seeds that are not live: they may be back, or a partition healed."""
         if self._live:
             self._former = []
         for address in self._rng.sample(self._former, min(limits.FANOUT, len(self._former))):
@@ -244,7 +244,7 @@
                 self._check_suspect(now, member, member.incarnation)
 
     def _suspect(self, now: timedelta, member: Member) -> None:
-        """Suspects a member; it is checked from here if it does not refute that in time."""
+        """Suspect a member; it is checked from here if it does not refute that in time."""
         self._set_state(now, member, MemberState.SUSPECT)
         self.gossip.announce(member)
         incarnation = member.incarnation
@@ -266,7 +266,7 @@
     # ---- received messages -------------------------------------------------------------------
 
     def _refute(self, state: MemberState, incarnation: int) -> None:
-        """Refutes a state of this scheduler other than alive, or an incarnation of an earlier run."""
+        """Refute a state of this scheduler other than alive, or an incarnation of an earlier run."""
         own = self.gossip.incarnation
         if incarnation >= UINT48_LIMIT - 1 or incarnation > max(
             own + limits.MAX_INCREASE, limits.OUTBID_LIMIT
@@ -276,7 +276,7 @@
             self.gossip.refute(incarnation)
 
     def _update_sender(self, now: timedelta, packet: Packet) -> Member | None:
-        """Returns the sender, updated; a dead one becomes alive only with a higher incarnation."""
+        """Return the sender, updated; a dead one becomes alive only with a higher incarnation."""
         member = self.members.get(packet.name)
         if packet.kind is PacketKind.LEAVE:
             if member is not None and packet.incarnation >= member.incarnation:
@@ -291,7 +291,7 @@
         return member
 
     def _apply_rumor(self, now: timedelta, rumor: Rumor) -> None:
-        """Applies a piggybacked update, which may be stale and never makes a member dead."""
+        """Apply a piggybacked update, which may be stale and never makes a member dead."""
         if rumor.name == self.name:
             self._refute(rumor.state, rumor.incarnation)
             return
@@ -340,7 +340,7 @@
                 self._request_page(sender)
 
     def _handle_ack(self, now: timedelta, packet: Packet, sender: Member) -> None:
-        """Handles an ACK, from the member itself or relayed."""
+        """Handle an ACK, from the member itself or relayed."""
         member = self._checks.get(packet.number)
         if member is None:
             return
@@ -371,7 +371,7 @@
         return member
 
     def _set_alive(self, now: timedelta, member: Member, incarnation: int) -> None:
-        """Applies a higher incarnation, which only the member itself can have chosen."""
+        """Apply a higher incarnation, which only the member itself can have chosen."""
         member.incarnation, member.failed = incarnation, 0
         was_gone = member.state not in LIVE
         self._set_state(now, member, MemberState.ALIVE)
@@ -380,7 +380,7 @@
         self.gossip.announce(member)
 
     def _add_to_orders(self, member: Member) -> None:
-        """Inserts a member at a random place of the passes in progress."""
+        """Insert a member at a random place of the passes in progress."""
         for order in (self._ping_order, self._gossip_order):
             order.insert(self._rng.randrange(len(order) + 1), member.name)
         self.gossip.announce(member)
--- a/carthinge/fleet/packets.py
+++ b/carthinge/fleet/packets.py
@@ -15,7 +15,7 @@
 MAX_PACKET_BYTES: Final = 1452  # a datagram of that size is not fragmented
 MAX_RUMOR_BYTES: Final = 500  # of a message, for updates about other members
 MAX_PAGE_BYTES: Final = 1000  # the same in a page of the member list, which has no summary
-MAX_CELLS: Final = 32  # nonzero levels of a summary
+MAX_CELLS: Final = 32  # cells of a summary
 MAX_REPORTED_WORKERS: Final = 8
 MAX_LEVEL: Final = 100  # per cent
 MAX_UNITS: Final = 1 << 20
@@ -69,7 +69,7 @@
 
     run_id: Uint48  #: drawn at random when the process starts
     sequence: Uint48
-    layout: Uint48  #: a digest of its tenants and classes, by which cells are numbered
+    layout: Uint48  #: a digest of the tenants and classes by which it numbers cells
     pressure: float  #: waiting work over the work that ends per second, as measured there; 0 and up
     levels: Annotated[
         list[tuple[Units, Annotated[int, msgspec.Meta(ge=0, le=MAX_LEVEL)]]],
@@ -91,7 +91,7 @@
     address: Address
     incarnation: Uint48
     receiver_state: MemberState = MemberState.ALIVE  #: of the receiver, as seen by the sender
-    receiver_incarnation: Uint48 = 0  #: for which that state holds
+    receiver_incarnation: Uint48 = 0  #: that the state applies to
     number: Uint48 = 0
     target: Address = ""  #: PING_REQ: the address to ping; relayed ACK: the name of the member it comes from
     target_incarnation: Uint48 = 0
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -21,14 +21,14 @@
 from typing import Final
 
 BASE: Final = 1024  # units of each budget that a member owns
-LENDABLE: Final = BASE // 2  # of these at most
-NEIGHBOURS: Final = 8  # members that one lends to, and that one borrows from
-LOAN_PERIODS: Final = 10  # periods of a loan
+LENDABLE: Final = BASE // 2  # the most of these that it lends, and that it borrows
+NEIGHBOURS: Final = 8  # members that a member lends to, and as many that it borrows from
+LOAN_PERIODS: Final = 10
 DRIFT: Final = 1.02  # the lender's loan is longer by that: clock rates may be off by one per cent each
 BUSY: Final = 0.25  # fill level of a quota below which its owner asks
 IDLE: Final = 0.75  # fill level above which its owner lends
-UNKNOWN: Final = 0.5  # fill level that is assumed; neither
-MAX_REQUESTS: Final = 8  # in a period, for all budgets together
+UNKNOWN: Final = 0.5  # assumed fill level of an unknown quota: its owner neither asks nor lends
+MAX_REQUESTS: Final = 8  # per period, for all budgets together
 
 
 @lru_cache(maxsize=8192)
@@ -45,7 +45,7 @@
 
 
 def max_loan(members: int) -> int:
-    """The units of a budget that a member may have from one lender, for a number of members with itself."""
+    """The units of a budget that one member may borrow from another in a fleet of ``members``."""
     return LENDABLE // min(NEIGHBOURS, max(1, members - 1))
 
 
@@ -84,21 +84,21 @@
         lent among them.  ``number``: the number of the last request before; if possible, above those of the
         previous run."""
         self.name, self.budgets = name, budgets
-        self.span = LOAN_PERIODS * period
+        self.loan_duration = LOAN_PERIODS * period
         self.lent: list[_Loan] = []
         self.borrowed: dict[str, list[_Loan]] = {}
         self.granted = self.asked_for = 0  #: units in total, for the metrics
         self._number = number
         self._pending: dict[int, _PendingRequest] = {}
         self._answered: dict[str, tuple[int, timedelta]] = {}  # the last number of each borrower
-        # The previous run may have lent units that are not back yet: they are not used until then.
-        self._loans_known_at = now + self.span * DRIFT
+        # The previous run may have lent units; they are not used until its loans have expired.
+        self._loans_known_at = now + self.loan_duration * DRIFT
         self._ring: list[str] = []
         self._members: frozenset[str] = frozenset()
 
-    def set_members(self, here: Collection[str]) -> None:
-        """Sets the live members, without this one."""
-        members = frozenset(here)
+    def set_members(self, others: Collection[str]) -> None:
+        """Set the live members, without this one."""
+        members = frozenset(others)
         if members != self._members:
             self._members = members
             self._ring = sorted([*members, self.name], key=point)
@@ -116,13 +116,15 @@
             if loan.budget == budget and loan.until > now + ahead
         )
 
-    def make_requests(self, now: timedelta, left: Mapping[int, float]) -> list[BudgetRequest]:
-        """Returns requests for the emptiest budgets, one neighbour each; ``left``: their fill levels."""
+    def make_requests(self, now: timedelta, fill_levels: Mapping[int, float]) -> list[BudgetRequest]:
+        """Return requests for the emptiest budgets by ``fill_levels``, one neighbour each."""
         self._expire(now)
         requests: list[BudgetRequest] = []
         lenders = self.lenders()
         empty = sorted(
-            (left.get(budget, UNKNOWN), budget) for budget in self.budgets if left.get(budget, UNKNOWN) < BUSY
+            (fill_levels.get(budget, UNKNOWN), budget)
+            for budget in self.budgets
+            if fill_levels.get(budget, UNKNOWN) < BUSY
         )
         for _, budget in empty[:MAX_REQUESTS] if lenders else ():
             units = max_loan(len(self._ring)) // 2  # two loans at a time, so that they can overlap
@@ -135,9 +137,15 @@
         return requests
 
     def grant(
-        self, now: timedelta, borrower: str, budget: int, number: int, units: int, left: Mapping[int, float]
+        self,
+        now: timedelta,
+        borrower: str,
+        budget: int,
+        number: int,
+        units: int,
+        fill_levels: Mapping[int, float],
     ) -> int:
-        """Lends units from now on and returns their number; 0 for none, which needs no reply."""
+        """Lend units from now on and return their number; 0 for none, which needs no reply."""
         self._expire(now)
         answered = self._answered.get(borrower)
         if (
@@ -149,14 +157,14 @@
         self._answered[borrower] = (number, now)
         lendable = LENDABLE - self._lent_units(budget)
         units = min(units, max_loan(len(self._ring)) // 2, lendable)
-        if units <= 0 or left.get(budget, UNKNOWN) <= IDLE or borrower not in self.borrowers():
+        if units <= 0 or fill_levels.get(budget, UNKNOWN) <= IDLE or borrower not in self.borrowers():
             return 0
-        self.lent.append(_Loan(budget, units, now + self.span * DRIFT))
+        self.lent.append(_Loan(budget, units, now + self.loan_duration * DRIFT))
         self.granted += units
         return units
 
     def receive(self, now: timedelta, lender: str, budget: int, number: int, units: int) -> bool:
-        """Adds granted units; returns False for a grant that was not requested, is too large or too late."""
+        """Add granted units; return False for a grant that was not requested, is too large or too late."""
         self._expire(now)
         request = self._pending.get(number)
         if (
@@ -170,7 +178,7 @@
         total = sum(loan.units for loans in self.borrowed.values() for loan in loans if loan.budget == budget)
         if total + units > LENDABLE:
             return False
-        self.borrowed.setdefault(lender, []).append(_Loan(budget, units, request.at + self.span))
+        self.borrowed.setdefault(lender, []).append(_Loan(budget, units, request.at + self.loan_duration))
         return True
 
     def _expire(self, now: timedelta) -> None:
@@ -181,9 +189,13 @@
                 self.borrowed[lender] = [loan for loan in loans if loan.until > now]
                 if not self.borrowed[lender]:
                     del self.borrowed[lender]
-        for number in [number for number, request in self._pending.items() if request.at + self.span <= now]:
+        for number in [
+            number for number, request in self._pending.items() if request.at + self.loan_duration <= now
+        ]:
             del self._pending[number]
-        for borrower in [name for name, (_, at) in self._answered.items() if at + 2 * self.span <= now]:
+        for borrower in [
+            name for name, (_, at) in self._answered.items() if at + 2 * self.loan_duration <= now
+        ]:
             del self._answered[borrower]
 
     def _lent_units(self, budget: int) -> int:
--- a/carthinge/fleet/retry_after.py
+++ b/carthinge/fleet/retry_after.py
@@ -12,12 +12,12 @@
     return 1e6 * held / ended_per_s if ended_per_s > 0 else float("inf")
 
 
-def compute_retry_after(room: float, least: float, most: int, point: int) -> int:
-    """Returns the retry_after of a request in microseconds, at most ``most``: at least ``room``, the time
-    until there is capacity, and longer by the request's ``point`` (a hash, 0 up to 2**64) to spread retries.
+def compute_retry_after(until_capacity: float, minimum: float, maximum: int, point: int) -> int:
+    """Return the retry_after of a request in microseconds, at most ``maximum``: at least the time
+    ``until_capacity``, and longer by the request's ``point`` (a hash, 0 up to 2**64) to spread retries.
 
-    If ``most`` is shorter than that, half of it is used for the spread: with the same retry_after for all
+    If ``maximum`` is shorter than that, half of it is used for the spread: with the same retry_after for all
     requests their retries would coincide, and a shorter one would not promise capacity either.
     """
-    shortest = min(max(room, least), most / SPREAD_FACTOR)
-    return min(most, int(shortest * (1 + (SPREAD_FACTOR - 1) * (point % POINT_RANGE) / POINT_RANGE)))
+    shortest = min(max(until_capacity, minimum), maximum / SPREAD_FACTOR)
+    return min(maximum, int(shortest * (1 + (SPREAD_FACTOR - 1) * (point % POINT_RANGE) / POINT_RANGE)))
--- a/carthinge/fleet/retry_budget.py
+++ b/carthinge/fleet/retry_budget.py
@@ -4,7 +4,7 @@
 
 EARNED_PER_SERVED_JOB: Final = 0.1  # with 0.3 the model recovers from bursts three times as slowly
 MAX_BUDGET: Final = 10.0  # retries that one scheduler may accumulate
-MAX_FLEET_BUDGET: Final = 200.0  # and all schedulers together; each may have at least one
+MAX_FLEET_BUDGET: Final = 200.0  # retries that all schedulers may accumulate; each at least one
 
 
 class RetryBudget:
@@ -20,13 +20,13 @@
         self.spent = 0
 
     def resize(self, instances: int) -> None:
-        """Applies a new number of schedulers."""
+        """Apply a new number of schedulers."""
         self.max_retries = self.max_for(instances)
         self.retries_left = min(self.retries_left, self.max_retries)
 
-    def transfer(self, attempts: float) -> None:
-        """Adds retries received from other schedulers; negative for retries given to them."""
-        self.retries_left = min(max(0.0, self.retries_left + attempts), self.max_retries)
+    def transfer(self, retries: float) -> None:
+        """Add retries received from other schedulers; negative for retries given to them."""
+        self.retries_left = min(max(0.0, self.retries_left + retries), self.max_retries)
 
     @staticmethod
     def max_for(instances: int) -> float:
@@ -39,7 +39,7 @@
         return cls.max_for(instances) * instances
 
     def earn(self) -> None:
-        """Adds the share of a served job."""
+        """Add the share of a served job."""
         self.retries_left = min(self.retries_left + EARNED_PER_SERVED_JOB, self.max_retries)
 
     def allows(self) -> bool:
@@ -51,6 +51,6 @@
         return {"budget_left": round(self.retries_left, 1), "budget_spent": self.spent}
 
     def spend(self) -> None:
-        """Deducts a retry, made here or by a client; the budget does not go below zero."""
+        """Deduct a retry, made here or by a client; the budget does not go below zero."""
         self.spent += 1
         self.retries_left = max(0.0, self.retries_left - 1)
--- a/carthinge/fleet/shared_ejections.py
+++ b/carthinge/fleet/shared_ejections.py
@@ -23,7 +23,7 @@
 from carthinge.fleet.summary import ReceivedSummary
 from carthinge.records import mix
 
-MIN_ACCUSERS: Final = 2  # that suspect the worker themselves
+MIN_ACCUSERS: Final = 2  # members that suspect the worker from their own attempts
 NEVER: Final = timedelta()
 EJECTION_PERIODS: Final = 3  # for which a worker is avoided after each decision
 FIRST_TRY_PERIODS: Final = 2  # until the member that is to try it does so, if it does not suspect it itself
@@ -47,9 +47,7 @@
     def __init__(self, name: str, period: timedelta) -> None:
         self.name, self.period = name, period
         self.healthy_at: dict[int, timedelta] = {}  #: suspected workers that this member found healthy since
-        self._since: dict[
-            int, timedelta
-        ] = {}  # when each worker that is suspected now was first known as that
+        self._since: dict[int, timedelta] = {}  # when each suspected worker was first known to be one
         self._members: frozenset[str] = frozenset()
         self._ranks: dict[int, dict[str, int]] = {}
 
@@ -109,7 +107,7 @@
     def _cleared_at(
         self, worker: int, received: Mapping[str, ReceivedSummary], ranks: Mapping[str, int], max_rank: int
     ) -> timedelta:
-        """When the worker was last found healthy by a member that may try it, or by two others."""
+        """When the worker was last found healthy by a member that may try it, or by two members."""
         reports = {
             name: received[name].healthy_at[worker]
             for name in received
--- a/carthinge/fleet/shared_shedding.py
+++ b/carthinge/fleet/shared_shedding.py
@@ -5,8 +5,8 @@
 members' own measured load.
 
 The agreed level applies while a scheduler has seen few jobs itself: in proportion to how far its recent jobs
-fall short of the starts that its own level assumes.  It sheds in addition to the own level, and respects the
-same minimum that is kept.
+fall short of the starts that its own level assumes.  It sheds in addition to the own level, and keeps the
+same minimum share.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 Cell = tuple[int, int]  #: a tenant and a class, by their positions
 PER_CENT: Final = 100  # levels are per cent of a cell's work
-CELL_RETENTION_S: Final = 4 * OFFERED_WORK_DECAY_S  # without work, after which a cell is dropped
+CELL_RETENTION_S: Final = 4 * OFFERED_WORK_DECAY_S  # time without work after which a cell is dropped
 
 
 class SharedSheddingLevel:
@@ -52,10 +52,8 @@
             for rank, work in works.items():
                 ranks[rank] = ranks.get(rank, 0.0) + work
         sizes = {cell: sum(works.values()) for cell, works in cells.items()}
-        remaining, shares = (
-            (1 - kept) * sum(sizes.values()),
-            {},
-        )  # work to shed, assigned from the lowest rank up
+        # The work to shed, which is assigned from the lowest rank up.
+        remaining, shares = (1 - kept) * sum(sizes.values()), {}
         for rank, work in sorted(ranks.items()):
             shares[rank] = min(1.0, remaining / work) if work else 0.0
             remaining = max(0.0, remaining - work)
--- a/carthinge/fleet/summary.py
+++ b/carthinge/fleet/summary.py
@@ -16,10 +16,10 @@
 
 from carthinge.fleet.packets import UINT48_LIMIT, Summary
 
-FRESH_PERIODS: Final = 10  # for which a summary is used
+FRESH_PERIODS: Final = 10  # age limit of a summary
 MAX_PRESSURE: Final = 1e6
 MAX_RETRIES: Final = 1e9
-MAX_AGE: Final = timedelta(days=1)  # of a suspicion; a higher age is clamped
+MAX_AGE: Final = timedelta(days=1)  # of a suspicion; a higher one is clamped
 MAX_RUN_IDS: Final = 4  # remembered for each member, to ignore delayed messages of earlier runs
 MICROSECOND: Final = timedelta(microseconds=1)
 
@@ -79,7 +79,7 @@
         self._sequences: dict[str, int] = {}
 
     def accept(self, now: timedelta, name: str, summary: Summary) -> bool:
-        """Replaces a member's summary; returns False if the new one is older or invalid."""
+        """Replace a member's summary; return False if the new one is older or invalid."""
         if (
             self._run_ids.get(name, [None])[-1] == summary.run_id
             and summary.sequence == self._sequences[name]
@@ -108,7 +108,7 @@
         return {name: self._received[name] for name in live if name in self._received}
 
     def retain(self, known: Collection[str]) -> None:
-        """Drops the state of all members that are not in ``known``."""
+        """Drop the state of all members that are not in ``known``."""
         for name in self._run_ids.keys() - known:
             del self._run_ids[name]
             self._sequences.pop(name, None)
--- a/carthinge/scheduler/fleet_adapter.py
+++ b/carthinge/scheduler/fleet_adapter.py
@@ -11,33 +11,32 @@
 from carthinge.interface import FleetView, Settings
 from carthinge.policy import Dispatcher
 
-MIN_RATE: Final = 1e5  # microseconds of work that end per second: a tenth of a worker
+MIN_ENDED_PER_S: Final = 1e5  # microseconds of work: a tenth of a worker
 
 
 def quota_budgets(tenants: Collection[str], decisions: Settings) -> dict[int, int]:
     """The budgets of the quotas that may be lent, by their identifiers, with their tenants' positions."""
     named = enumerate(zip(tenants, decisions.tenants, strict=False))
     return {
-        budget_id(name, tenant.quota_per_s, decisions.instances): at
-        for at, (name, tenant) in named
+        budget_id(name, tenant.quota_per_s, decisions.instances): position
+        for position, (name, tenant) in named
         if tenant.quota_per_s > 0
     }
 
 
 class FleetAdapter:
-    """One dispatcher's facts and views; ``budgets`` as from ``quota_budgets``, ``classes``: their number."""
+    """One dispatcher's observations and views.  ``budgets``: see ``quota_budgets``; ``classes``: a number."""
 
     def __init__(self, dispatcher: Dispatcher, budgets: Mapping[int, int], classes: int) -> None:
         self.dispatcher, self.budgets, self.classes = dispatcher, budgets, max(1, classes)
         self._retries_spent = dispatcher.context.budget.spent
 
     def observe(self, workers: Collection[int], now: int) -> Observations:
-        """The observations at that time, in microseconds, with the signs of life of these workers."""
+        """The observations at ``now`` (microseconds), with the last signs of life of these workers."""
         dispatcher = self.dispatcher
         known, context = dispatcher.fleet.workers, dispatcher.context
-        count_strikes = (
-            not context.level.shedding
-        )  # under overload silence is queueing, and no reason to suspect
+        # Under overload a silent worker is busy with its queue, which is no reason to suspect it.
+        count_strikes = not context.level.shedding
         failures = {
             worker.id: worker.strikes * count_strikes + max(0, worker.errors - 1)
             for worker in known.values()
@@ -50,10 +49,12 @@
         }
         quotas = dispatcher.tenants.quotas
         fill_levels = {
-            budget: quotas[at].fill(now) for budget, at in self.budgets.items() if at < len(quotas)
+            budget: quotas[position].fill(now)
+            for budget, position in self.budgets.items()
+            if position < len(quotas)
         }
         waiting = sum(job.work for job in dispatcher.jobs.values() if job.waiting)
-        ended_per_s = max(MIN_RATE, context.served.per_s)
+        ended_per_s = max(MIN_ENDED_PER_S, context.served.per_s)
         levels = {
             cell_number(*cell, self.classes): level
             for cell, level in context.own_shedding_levels(now).items()
@@ -71,12 +72,12 @@
             context.budget.max_retries,
         )
 
-    def view(self, node: FleetNode, parts: tuple[float, ...]) -> FleetView:
-        """The event for the decision module; it takes the transferred retries out of ``node``."""
+    def view(self, node: FleetNode, quota_shares: tuple[float, ...]) -> FleetView:
+        """Return the event for the dispatcher; takes the transferred retries out of ``node``."""
         view = node.view
         return FleetView(
             tuple((worker, until // MICROSECOND) for worker, until in view.ejections.avoid_until.items()),
-            parts,
+            quota_shares,
             {divmod(cell, self.classes): level for cell, level in view.levels.items()},
             node.take_transferred_retries(),
         )
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -70,7 +70,7 @@
         self._incarnation = 0
 
     def open(self) -> None:
-        """Joins the fleet; tries again while the predecessor still has the address."""
+        """Join the fleet, and try again while the predecessor still has the address."""
         if self._sock is not None:
             return
         # The previous run may have lent the rest of the quotas.
@@ -91,7 +91,7 @@
             return
         self._sock = sock
         now, rng = self.loop.clock.now(), SystemRandom()
-        # Higher than in any previous run, unless the clock was set back: then the others send theirs.
+        # Higher than in previous runs; if the clock was set back, the others report the previous one.
         self._incarnation = max(self._incarnation + 1, self.loop.clock.wall() // MILLISECOND)
         options = self.options
         membership = Membership(
@@ -116,7 +116,7 @@
         )
 
     def close(self, leave: bool) -> None:
-        """Closes the socket.  ``leave``: announces that to the others; otherwise a successor takes over."""
+        """Close the socket.  ``leave``: announce that to the others; otherwise a successor takes over."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -134,7 +134,7 @@
         self._sock = self._node = None
 
     def apply_settings(self, site: Site) -> None:
-        """Applies new settings."""
+        """Apply new settings."""
         self.site = site
         self._adapter = self._make_adapter(self._adapter.dispatcher)
         if self._node is not None:
@@ -217,12 +217,12 @@
     def _tenant_shares(self, known: Mapping[int, float], default: float) -> tuple[float, ...]:
         """The quota shares by the positions of the tenants; 1.0 for quotas that are not lent."""
         shares = [1.0] * len(self.site.decisions.tenants)
-        for budget, at in self._adapter.budgets.items():
-            shares[at] = known.get(budget, default)
+        for budget, position in self._adapter.budgets.items():
+            shares[position] = known.get(budget, default)
         return tuple(shares)
 
     def _set_timer(self) -> None:
-        """Sets the only timer to the earliest due time."""
+        """Set the only timer to the earliest due time."""
         if self._node is None:
             return
         due = self._node.due()
@@ -250,7 +250,7 @@
 
 @lru_cache(maxsize=8192)
 def _parse_numeric(address: str) -> tuple[str, int] | None:
-    """Rejects host names in messages: a DNS lookup would block the loop."""
+    """Reject host names in messages: a DNS lookup would block the loop."""
     try:
         parsed = Address.parse(address)
         ip_address(parsed.host)
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -22,12 +22,12 @@
 from carthinge.policy import Dispatcher
 from carthinge.scheduler.upgrade import Upgrade
 
-if TYPE_CHECKING:  # not loaded where no job is durable, or schedulers do not talk
+if TYPE_CHECKING:  # loaded only where jobs may be durable, or schedulers form a fleet
     from carthinge.durable.jobs import DurableJobs
     from carthinge.scheduler.fleet_link import FleetLink
 
-MIN_CLIENT_SLOTS: Final = 8  # however many the previous process still holds
-PEER: Final = -1  # sender of the other process's load at the workers
+MIN_CLIENT_SLOTS: Final = 8  # however many the predecessor still holds
+PEER: Final = -1  # sender of the messages with the other process's load at the workers
 
 
 class HandoverPeer:
@@ -90,9 +90,9 @@
             if self._durable is not None:
                 from carthinge.durable.handover import reclaim_store
 
-                reclaim_store(self._durable, self._store_taken_back)
+                reclaim_store(self._durable, self._on_store_reclaimed)
 
-    def _store_taken_back(self) -> None:
+    def _on_store_reclaimed(self) -> None:
         if self._frontend.durable is not None:
             self._frontend.durable.resume_all()
         self._frontend.handle_deferred()
@@ -145,7 +145,7 @@
         """Take over an open request with its client; callbacks for its job are handled here from now on."""
         client = self._frontend.adopt_open(sock, tracked.keep_alive)
         job = Job(tracked.id, tracked.subject, tracked.body, tuple(tracked.headers))
-        taken = TrackedRequest(
+        request = TrackedRequest(
             0,
             job,
             tracked.class_name,
@@ -154,22 +154,24 @@
             tracked.give_up_us * MICROSECOND,
             effect=self._frontend.translator.effect(tracked.class_name),
         )
-        for number, sent in enumerate(tracked.attempts):
-            target = self._directory.get_or_add(sent.worker, Address.parse(sent.address))
-            taken.attempts.append(
+        for number, attempt in enumerate(tracked.attempts):
+            target = self._directory.get_or_add(attempt.worker, Address.parse(attempt.address))
+            request.attempts.append(
                 Attempt(
-                    taken,
+                    request,
                     number,
                     target,
-                    sent.sent_us * MICROSECOND,
-                    sent.due_us * MICROSECOND,
-                    open=sent.open,
+                    attempt.sent_us * MICROSECOND,
+                    attempt.due_us * MICROSECOND,
+                    open=attempt.open,
                     written=True,
-                    result=None if sent.result is None else Result(sent.result),
+                    result=None if attempt.result is None else Result(attempt.result),
                 )
             )
-        client.wait_for_result(taken)
-        self._tracker.take_over(taken, self._frontend.translator.tenant(tracked.tenant) or 0, tracked.memory)
+        client.wait_for_result(request)
+        self._tracker.take_over(
+            request, self._frontend.translator.tenant(tracked.tenant) or 0, tracked.memory
+        )
 
     def adopt_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Take over an idle connection to a worker."""
@@ -186,7 +188,7 @@
             self.share_descriptors(heartbeat.slots)
 
     def share_descriptors(self, slots: int) -> None:
-        """Reduce the limits by the client slots that the old process still holds; both count together."""
+        """Reduce the limits by the client slots that the predecessor still holds, as both share them."""
         self._frontend.slots.max_connections = max(MIN_CLIENT_SLOTS, self._max_slots - slots)
         self._worker_client.max_connections = self._max_outgoing // 2
 
@@ -218,14 +220,14 @@
         job = tracked.job
         attempts = [
             OpenAttempt(
-                sent.target.id,
-                str(sent.target.address),
-                sent.sent // MICROSECOND,
-                sent.due // MICROSECOND,
-                sent.open,
-                sent.result,
+                attempt.target.id,
+                str(attempt.target.address),
+                attempt.sent // MICROSECOND,
+                attempt.due // MICROSECOND,
+                attempt.open,
+                attempt.result,
             )
-            for sent in tracked.attempts
+            for attempt in tracked.attempts
         ]
         request = Open(
             job.id,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -43,11 +43,11 @@
 
 SWITCH_INTERVAL: Final = timedelta(microseconds=250)  # the store's thread needs only short time slices
 GC_THRESHOLDS: Final = (20_000, 50, 100)  # durable jobs are many and long-lived
-RESERVED_SOCKETS: Final = 48  # of the limit: the listener, discovery, the log and the runtime
+RESERVED_SOCKETS: Final = 48  # of the limit, for the listener, discovery, the log and the runtime
 BACKLOG: Final = 1024
 WORKER_CONNECTIONS_SHARE: Final = 0.4  # of the rest; a worker's connection is in use only until the 202
 QUIET_DURATION: Final = timedelta(milliseconds=300)  # without work, before the program ends
-LISTEN_DELAY: Final = timedelta(milliseconds=1)  # any wait will do: throttling of CPU time takes effect in it
+LISTEN_DELAY: Final = timedelta(milliseconds=1)  # throttling of CPU time takes effect during any wait
 BOOT_ID_PATH: Final = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -161,7 +161,7 @@
 
         Raises OSError if it cannot listen, StoreError if the store of durable jobs cannot be used.
         """
-        self._wake = install_signal_handlers(self.loop, self._handle_signals)
+        self._wakeup_sockets = install_signal_handlers(self.loop, self._handle_signals)
         if self.config.operator is not None:
             self.operator = Operator(self.loop, self.config.operator, self, self.counters)
         limits = self.config.limits
@@ -188,11 +188,13 @@
         if self.operator is not None:
             self.operator.close()
         self.loop.close()
-        owed = sum(e.pending and e.journal is None for e in self.tracker.tracked_requests.values())
-        log.logger().info("stopped", unanswered=owed, **self.counters.as_dict())
+        unanswered = sum(
+            tracked.pending and tracked.journal is None for tracked in self.tracker.tracked_requests.values()
+        )
+        log.logger().info("stopped", unanswered=unanswered, **self.counters.as_dict())
 
     def start_serving(self, state: State | None) -> None:
-        """Start serving, from the state of the previous process if there is one."""
+        """Start serving, from the state of the predecessor if there is one."""
         if state is None:
             self.tracker.emit(self.directory.apply_list(self.config.known, Listing.CACHED))
         else:
@@ -231,8 +233,8 @@
         """Listen, as the last step of the start and in a turn of its own.
 
         A platform that meters CPU time may throttle this process for the cost of its start.  If it listened
-        before that, requests would wait in the backlog with their deadlines running, since a time
-        that is unknown here.
+        before that, requests would wait in the backlog, with their deadlines running from a time that is
+        unknown here.
         """
         if not self.tracker.invariants.start():
             return
@@ -276,7 +278,7 @@
         }
 
     def set_excluded(self, worker: str, excluded: bool, done: Callable[[bool], None]) -> None:
-        """Exclude or re-admit a worker, at both processes during an upgrade, before it is answered."""
+        """Exclude or re-admit a worker, in both processes during an upgrade; then call ``done``."""
         known = self.set_excluded_here(worker, excluded, confirmed=False)
         if not self.upgrade.has_peer:
             done(known)
@@ -372,13 +374,13 @@
         """End after QUIET_DURATION without work; requests that arrive until then are still accepted."""
         if not self.upgrade.leaving:  # otherwise they are handed over to the new process
             self.frontend.close_idle()
-        owed = any(tracked.journal is None for tracked in self.tracker.tracked_requests.values())
+        unanswered = any(tracked.journal is None for tracked in self.tracker.tracked_requests.values())
         connected = len(self.frontend.slots) > 0
-        front, drain = self.frontend.durable, self.frontend.draining
-        if front is not None and drain is not None and self.loop.now >= drain.answered_by:
+        durable, drain = self.frontend.durable, self.frontend.draining
+        if durable is not None and drain is not None and self.loop.now >= drain.answered_by:
             # Workers still call back about durable jobs, which the next process handles.
-            connected = bool(front.waiting)
-        if owed or connected or self.upgrade.has_unsent or self.frontend.has_backlog():
+            connected = bool(durable.waiting)
+        if unanswered or connected or self.upgrade.has_unsent or self.frontend.has_backlog():
             self._quiet_since = None
         elif self._quiet_since is None:
             self._quiet_since = self.loop.now
--- a/carthinge/scheduler/signal_handlers.py
+++ b/carthinge/scheduler/signal_handlers.py
@@ -17,14 +17,14 @@
 
     Returns the pair of sockets, which the caller has to keep: they close when they are no longer referenced.
     """
-    wake_in, wake_out = socket.socketpair()
-    wake_in.setblocking(False)
-    wake_out.setblocking(False)
-    signal.set_wakeup_fd(wake_out.fileno())
+    wakeup_receiver, wakeup_sender = socket.socketpair()
+    wakeup_receiver.setblocking(False)
+    wakeup_sender.setblocking(False)
+    signal.set_wakeup_fd(wakeup_sender.fileno())
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
         signal.signal(number, _ignore)
-    loop.register(wake_in, READ, lambda _: handle(wake_in.recv(64)))
-    return wake_in, wake_out
+    loop.register(wakeup_receiver, READ, lambda _: handle(wakeup_receiver.recv(64)))
+    return wakeup_receiver, wakeup_sender
 
 
 def _ignore(number: int, frame: FrameType | None) -> None:
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrade: a new process of a scheduler takes over from the old one."""
+"""Upgrade: a new process of a scheduler, the successor, takes over from the running one, the predecessor."""
 
 from __future__ import annotations
 
@@ -33,13 +33,12 @@
 from carthinge.net.loop import MICROSECOND, READ, Loop, Timer
 from carthinge.net.sockets import NOT_READY
 
-STATE_TIMEOUT: Final = timedelta(seconds=2)  # after Hello; then the old process is considered stuck
-HEARTBEAT_INTERVAL: Final = timedelta(
-    milliseconds=100
-)  # between reports of each process's load at the workers
-FORWARD_TIMEOUT: Final = timedelta(
-    milliseconds=500
-)  # for a forwarded call; operators need an answer within 1 s
+# For the state after Hello; without it the predecessor is considered stuck.
+STATE_TIMEOUT: Final = timedelta(seconds=2)
+# Between reports of each process's load at the workers.
+HEARTBEAT_INTERVAL: Final = timedelta(milliseconds=100)
+# For a forwarded call; operators need an answer within 1 s.
+FORWARD_TIMEOUT: Final = timedelta(milliseconds=500)
 
 
 class HandoverHandler(Protocol):
@@ -59,13 +58,13 @@
         """Whether the successor can still fail to take over, and has to confirm that it serves."""
 
     def release_store(self, done: Callable[[bool], None]) -> None:
-        """Release the store, which only one process can have; calls ``done`` with whether it is free."""
+        """Release the store, which only one process can have; call ``done`` with whether it is free."""
 
     def peer_ended(self) -> None:
         """Note that the predecessor has ended."""
 
     def handle_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
-        """Handle a callback that the peer received; calls ``done`` with whether its job is known here."""
+        """Handle a callback that the peer received; call ``done`` with whether its job is known here."""
 
     def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
         """Exclude or re-admit a worker; return whether it is known."""
@@ -102,7 +101,7 @@
 class Upgrade:
     """Finds the predecessor, if there is one, and is found by the successor."""
 
-    handler: HandoverHandler  #: must be set before ``find`` is called
+    handler: HandoverHandler  #: must be set before ``find_predecessor`` is called
 
     def __init__(self, loop: Loop, name: str) -> None:
         self._loop = loop
@@ -141,7 +140,7 @@
     # ---- connecting -----------------------------------------------------------------------
 
     def find_predecessor(self) -> None:
-        """Ask a running process to hand over; start serving at once if there is none."""
+        """Ask the predecessor to hand over; start serving at once if there is none."""
         if self._path is None:
             self.handler.start_serving(None)
             return
@@ -245,13 +244,13 @@
         self._send(Outgoing(str(address), idle_since // MICROSECOND), sock)
 
     def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
-        """Forward a callback; calls ``done`` with whether its job is known at the peer."""
+        """Forward a callback; call ``done`` with whether its job is known at the peer."""
         self._request(lambda number: CallBack(number, body), done)
 
     def forward_set_excluded(
         self, worker: str, excluded: bool, confirmed: bool, done: Callable[[bool], None]
     ) -> None:
-        """Forward an operator's call; calls ``done`` with whether the worker is known at the peer."""
+        """Forward an operator's call; call ``done`` with whether the worker is known at the peer."""
         self._request(lambda number: ByHandCall(number, worker, excluded, confirmed), done)
 
     def _request(self, message: Callable[[int], Message], done: Callable[[bool], None]) -> None:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -22,7 +22,7 @@
         self.scheduler_addresses = [sock.getsockname() for sock in bound]
         for sock in bound:
             sock.close()
-        self.cuts = set()  # pairs (sender, receiver) of scheduler numbers between which nothing is passed on
+        self.cuts = set()  # pairs (sender, receiver) of scheduler numbers whose datagrams are blocked
         self.passed = 0
         self._rng = random.Random(seed)
         self._delayed = []
@@ -38,9 +38,9 @@
     def operator_file(self, number, period=0.1, key_file=""):
         """Return the text of that scheduler's operator file."""
         addresses = ["{}:{}".format(*sock.getsockname()) for sock in self.relay_sockets]
-        home = "{}:{}".format(*self.scheduler_addresses[number])
+        listen = "{}:{}".format(*self.scheduler_addresses[number])
         return (
-            f"[fleet]\nlisten = '{home}'\nadvertise = '{addresses[number]}'\nmembers = {addresses}\n"
+            f"[fleet]\nlisten = '{listen}'\nadvertise = '{addresses[number]}'\nmembers = {addresses}\n"
             f"period = {period}\nkey_file = '{key_file}'\n"
         )
 
@@ -63,18 +63,18 @@
             wait = min(0.05, max(0.0, self._delayed[0][0] - time.monotonic())) if self._delayed else 0.05
             for sock in select.select(self.relay_sockets, [], [], wait)[0]:
                 data, source = sock.recvfrom(2048)
-                to = self.relay_sockets.index(sock)
+                receiver = self.relay_sockets.index(sock)
                 sender = (
                     self.scheduler_addresses.index(source) if source in self.scheduler_addresses else None
                 )
-                if (sender, to) in self.cuts:
+                if (sender, receiver) in self.cuts:
                     continue
                 for _ in range(1 + (self._rng.random() < duplication)):
                     if self._rng.random() >= loss:
                         due = time.monotonic() + self._rng.random() * delay
-                        heappush(self._delayed, (due, self._rng.random(), to, data))
+                        heappush(self._delayed, (due, self._rng.random(), receiver, data))
             while self._delayed and self._delayed[0][0] <= time.monotonic():
-                _, _, to, data = heappop(self._delayed)
+                _, _, receiver, data = heappop(self._delayed)
                 with contextlib.suppress(ConnectionRefusedError):
-                    self.relay_sockets[to].sendto(data, self.scheduler_addresses[to])
+                    self.relay_sockets[receiver].sendto(data, self.scheduler_addresses[receiver])
                 self.passed += 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,16 +21,16 @@
 
 
 @given(durations, st.floats(0, 1e9), st.integers(0, 10**9), points)
-def test_retry_after_is_within_bounds(room, least, most, point):
-    delay = retry_after.compute_retry_after(room, least, most, point)
-    assert 0 <= delay <= most
-    assert delay >= int(min(max(room, least), most / 2))
+def test_retry_after_is_within_bounds(until_capacity, minimum, maximum, point):
+    delay = retry_after.compute_retry_after(until_capacity, minimum, maximum, point)
+    assert 0 <= delay <= maximum
+    assert delay >= int(min(max(until_capacity, minimum), maximum / 2))
 
 
 @given(durations, st.integers(1000, 10**9))
-def test_retry_after_is_spread_evenly(room, most):
-    shortest = min(max(room, 100), most / 2)
-    times = [retry_after.compute_retry_after(room, 100, most, part << 60) for part in range(16)]
+def test_retry_after_is_spread_evenly(until_capacity, maximum):
+    shortest = min(max(until_capacity, 100), maximum / 2)
+    times = [retry_after.compute_retry_after(until_capacity, 100, maximum, part << 60) for part in range(16)]
     assert times == sorted(times)
     assert times[-1] - times[0] >= int(shortest * 14 / 16)
 
@@ -81,7 +81,7 @@
 
 
 def simulate(level, seconds, wait, waiting, every=100_000, start=0):
-    """Ten starts a second, each after ``wait``, while ``waiting`` attempts wait; returns the kept share."""
+    """Simulate ten starts a second after ``wait`` each, while ``waiting`` wait; return the kept share."""
     kept = 1.0
     for now in range(start, start + int(seconds * SECOND), every):
         level.waiting = waiting
@@ -134,11 +134,11 @@
 
 
 def overloaded(late_worth=0.0, **more):
-    """A dispatcher after eight seconds of ten jobs a second, each started 100 ms after it was sent."""
+    """Return a dispatcher after eight seconds of ten jobs a second, each started 100 ms after it was sent."""
     high = io.JobClass(objective=300_000, deadline=5_000_000, worth=10.0, late_worth=late_worth)
     low = io.JobClass(objective=300_000, deadline=5_000_000, late_worth=late_worth)
     config = settings(high, low, may_hedge=False, progress=10**8, **more)
-    gateway = started(config, *range(1, 30))
+    dispatcher = started(config, *range(1, 30))
     running = []
     for number in range(1, 80):
         now = number * 100_000
@@ -149,25 +149,25 @@
                 io.ProgressReport(request, attempt, worker),
                 outcome(request, attempt, worker, io.Result.OK),
             ]
-        for send in only(io.Send, gateway.handle(now, events)):
+        for send in only(io.Send, dispatcher.handle(now, events)):
             running.append((send.request, 0, send.worker, now))
-    return gateway
+    return dispatcher
 
 
 def test_overload_refuses_lowest_worth():
-    gateway = overloaded()
-    assert gateway.context.level.shedding
-    actions = gateway.handle(8_100_000, [arrival(200 + n, n % 2, now=8_100_000) for n in range(20)])
+    dispatcher = overloaded()
+    assert dispatcher.context.level.shedding
+    actions = dispatcher.handle(8_100_000, [arrival(200 + n, n % 2, now=8_100_000) for n in range(20)])
     refused = {refusal.request for refusal in only(io.Refuse, actions)}
     assert refused and all(request % 2 for request in refused)
 
 
 def test_jobs_with_late_worth_are_kept():
-    gateway = overloaded(late_worth=0.1)
+    dispatcher = overloaded(late_worth=0.1)
     assert not only(
-        io.Refuse, gateway.handle(8_100_000, [arrival(200 + n, now=8_100_000) for n in range(20)])
+        io.Refuse, dispatcher.handle(8_100_000, [arrival(200 + n, now=8_100_000) for n in range(20)])
     )
-    assert gateway.context.level.shed == 0
+    assert dispatcher.context.level.shed == 0
 
 
 # ---- retry budget and backoff -------------------------------------------------------------------
@@ -191,9 +191,9 @@
 
 
 def test_client_retry_spends_budget():
-    gateway = started(settings(WORTHLESS_LATE), 1, 2)
-    gateway.handle(1, [arrival(1, repeat=True)])
-    assert gateway.context.budget.spent == 1 and not gateway.context.budget.allows()
+    dispatcher = started(settings(WORTHLESS_LATE), 1, 2)
+    dispatcher.handle(1, [arrival(1, repeat=True)])
+    assert dispatcher.context.budget.spent == 1 and not dispatcher.context.budget.allows()
 
 
 @pytest.mark.parametrize("sharers", [1, 8, 30, 1000])
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -144,19 +144,19 @@
 LEVELS = st.lists(st.integers(0, 100), min_size=2, max_size=30)
 
 
-@given(correct=LEVELS, inject_faults=st.integers(0, 100))
+@given(correct=LEVELS, faulty=st.integers(0, 100))
 @STEADY
-def test_faulty_vote_moves_median_one_step(correct, inject_faults):
+def test_faulty_vote_moves_median_one_step(correct, faulty):
     """The median stays between the two correct votes around the middle, so never beyond all of them."""
     ordered, middle = sorted(correct), len(correct) // 2
-    level = agreed(correct[0], [*correct[1:], inject_faults])
+    level = agreed(correct[0], [*correct[1:], faulty])
     assert ordered[max(0, middle - 1)] <= level <= ordered[middle]
 
 
-@given(correct=LEVELS, inject_faults=st.integers(0, 100), data=st.data())
+@given(correct=LEVELS, faulty=st.integers(0, 100), data=st.data())
 @STEADY
-def test_same_votes_give_same_level(correct, inject_faults, data):
-    votes = [*correct, inject_faults]
+def test_same_votes_give_same_level(correct, faulty, data):
+    votes = [*correct, faulty]
     at = data.draw(st.integers(0, len(correct) - 1))
     assert agreed(votes[at], votes[:at] + votes[at + 1 :]) == agreed(votes[0], votes[1:])
 
@@ -174,7 +174,7 @@
 
 
 def shared(agreed=None):
-    """Half of the offered work is of the cell LOW, half of HIGH, which is worth more."""
+    """Return a level after work of the cells LOW and HIGH, half each; HIGH is worth more."""
     level = SharedSheddingLevel()
     level.agreed = agreed or {}
     for number in range(100):
@@ -211,7 +211,7 @@
 
 
 def decisions(own, at=NOW, healthy_at=None, views=None, known=None, workers=100):
-    """Returns each member's decision; ``own``: by member, the workers that it suspects and since when."""
+    """Return each member's decision; ``own``: by member, the workers that it suspects and since when."""
     views = views or {name: SharedEjections(name, PERIOD) for name in NAMES}
     decided = {}
     for name in NAMES:
@@ -233,12 +233,12 @@
     return decided
 
 
-@given(inject_faults=st.dictionaries(st.integers(0, 50), st.just(NOW), max_size=12))
+@given(faulty=st.dictionaries(st.integers(0, 50), st.just(NOW), max_size=12))
 @STEADY
-def test_single_suspicion_ejects_no_worker(inject_faults):
+def test_single_suspicion_ejects_no_worker(faulty):
     assert all(
         not decision.avoid_until and not decision.suspected_count
-        for decision in decisions({"m0": inject_faults}).values()
+        for decision in decisions({"m0": faulty}).values()
     )
 
 
@@ -252,7 +252,7 @@
     for name, decision in decided.items():
         if name not in triers:
             assert decision.avoid_until == {worker: NOW + EJECTION_PERIODS * PERIOD}
-        else:  # it waits first, unless it suspects the worker itself and has its own pause
+        else:  # it waits first, unless it suspects the worker itself: then its own backoff applies
             assert decision.avoid_until == (
                 {} if name in accusers else {worker: NOW + FIRST_TRY_PERIODS * PERIOD}
             )
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def fleet(tmp_path, relay, period=0.2, key_file="", **more):
-    """Starts a world for each address of the relay, and waits until all members know each other."""
+    """Start a world for each address of the relay, and wait until all members know each other."""
     with contextlib.ExitStack() as stack:
         stack.enter_context(relay)
         worlds = []
@@ -44,7 +44,7 @@
 
 
 def wait_for(world, **wanted):
-    """Waits until the metrics have these values."""
+    """Wait until the metrics have these values."""
     until = time.monotonic() + 3 * WAIT
     while any((seen := figures(world))[name] != value for name, value in wanted.items()):
         assert time.monotonic() < until, (wanted, seen, world.log()[-2000:])
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -109,7 +109,7 @@
 
     @rule(data=st.data(), both=st.booleans())
     def cut(self, data, both):
-        """Cuts the first few names off from the others, in one direction or both."""
+        """Cut the first few names off from the others, in one direction or both."""
         split = data.draw(st.integers(1, len(self.names) - 1))
         left, right = self.names[:split], self.names[split:]
         for one in left:
@@ -163,7 +163,7 @@
 def test_suspected_member_refutes():
     """A faulty member keeps sending that n2 is suspected, with its current incarnation."""
     net = fleet(5)
-    inject_faults = net.nodes["n4"]
+    faulty = net.nodes["n4"]
     for _ in range(30):
         net.run(PERIOD)
         rumors = [Rumor("n2", MemberState.SUSPECT, net.nodes["n2"].gossip.incarnation)]
@@ -173,9 +173,7 @@
                 [
                     (
                         name,
-                        Packet(
-                            PacketKind.GOSSIP, "n4", "n4", inject_faults.gossip.incarnation, rumors=rumors
-                        ),
+                        Packet(PacketKind.GOSSIP, "n4", "n4", faulty.gossip.incarnation, rumors=rumors),
                     )
                 ],
             )
@@ -260,9 +258,9 @@
     starts = set()
     for _ in range(60):
         net.run(PERIOD)
-        starts |= {machine._starts for machine in net.nodes.values()}
+        starts |= {machine._new_checks for machine in net.nodes.values()}
     assert starts <= {1, 2, 4}  # now and then a member's only check in a period fails by losses
-    assert sum(machine._starts > 1 for machine in net.nodes.values()) <= 2
+    assert sum(machine._new_checks > 1 for machine in net.nodes.values()) <= 2
     assert not dead_pairs(net)
 
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -82,7 +82,7 @@
 
 
 def shares_within_total(net):
-    """Checks the shares that the dispatchers use, not only the ledgers, at any time."""
+    """Check the shares that the dispatchers use, and not only the ledgers."""
     assert sum(node.view.shares[1] for node in net.nodes.values()) <= 5
     return True
 
@@ -111,7 +111,7 @@
 
 def test_faulty_member_has_one_vote(net):
     """It sends wrong levels, pressure and suspicions, invalid or old summaries and unrequested grants."""
-    inject_faults = net.nodes.pop("n4")
+    faulty = net.nodes.pop("n4")
     for name in net.nodes:
         net.schedulers[name].facts.update(levels={5: 2}, pressure=1.0, fill_levels={1: 0.0})
     for step in range(1, 40):
@@ -130,14 +130,14 @@
                     PacketKind.GOSSIP,
                     "n4",
                     "n4",
-                    inject_faults.membership.gossip.incarnation,
+                    faulty.membership.gossip.incarnation,
                     summary=summary,
                 ),
                 Packet(
                     PacketKind.GRANT,
                     "n4",
                     "n4",
-                    inject_faults.membership.gossip.incarnation,
+                    faulty.membership.gossip.incarnation,
                     number=step,
                     budget_id=1,
                     units=1 << 20,
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -28,7 +28,7 @@
         return [member(name, self.world.workers[0].port, phase) for name in self.world.names[:count]]
 
     def serve(self, prefix, times):
-        """Serves jobs one after the other; returns the workers that they were sent to."""
+        """Serve jobs one after the other; return the workers that they were sent to."""
         used = set()
         for step in range(times):
             client = self.world.submit(f"{prefix}{step}")
@@ -90,12 +90,12 @@
         0, [listing(*(io.WorkerEntry(number, kind=number % 3) for number in range(1, COUNT + 1)))]
     )
     (sent,) = [a for a in dispatcher.handle(1000, [arrival(now=1000)]) if isinstance(a, io.Send)]
-    (again,) = [
+    (retried,) = [
         a
         for a in dispatcher.handle(2000, [outcome(1, 0, sent.worker, io.Result.RESET)])
         if isinstance(a, io.Send)
     ]
-    assert again.worker != sent.worker
+    assert retried.worker != sent.worker
     assert calls < COUNT / 10
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -116,7 +116,7 @@
     at, peer, _ = world.next_request()
     peer.answer(202)
     world.send_callback("charge", "started", at)
-    again = world.submit("again", kind="query", deadline="9000m")
+    retried = world.submit("again", kind="query", deadline="9000m")
     first, peer, _ = world.next_request()
     peer.answer(202)
     world.send_callback("again", "lost", first)
@@ -136,7 +136,7 @@
     world.send_callback("charge", "lost", at)
     assert charge.status() == 502  # it may have run
     world.send_callback("again", "lost", last)
-    assert first != last and again.status() == 503  # it has been at every worker already
+    assert first != last and retried.status() == 503  # it has been at every worker already
     assert world.metrics()["in_flight"] == 0
 
 
@@ -193,7 +193,7 @@
     stop = threading.Event()
     answers, errors = [], []
 
-    def work(listener, name):
+    def accept_connections(listener, name):
         with contextlib.suppress(OSError):
             while not stop.is_set():
                 threading.Thread(target=serve, args=(listener.accept(), name), daemon=True).start()
@@ -206,14 +206,14 @@
                 if line.startswith("DELETE"):
                     continue
                 event = json.dumps({"id": headers["req-id"], "from": name, "state": "done"}).encode()
-                with socket.create_connection((world.listening_socket.getsockname()), WAIT) as back:
-                    back.sendall(
+                with socket.create_connection((world.listening_socket.getsockname()), WAIT) as callback_sock:
+                    callback_sock.sendall(
                         b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
                         % (len(event), event)
                     )
-                    assert back.recv(1000).startswith(b"HTTP/1.1 204")
+                    assert callback_sock.recv(1000).startswith(b"HTTP/1.1 204")
 
-    def ask(name):
+    def run_client(name):
         client = None
         try:
             for number in range(10**6):
@@ -226,9 +226,10 @@
             errors.append(error)
 
     threads = [
-        threading.Thread(target=work, args=pair) for pair in zip(world.workers, world.names, strict=True)
+        threading.Thread(target=accept_connections, args=pair)
+        for pair in zip(world.workers, world.names, strict=True)
     ]
-    threads += [threading.Thread(target=ask, args=(f"c{number}",)) for number in range(6)]
+    threads += [threading.Thread(target=run_client, args=(f"c{number}",)) for number in range(6)]
     for thread in threads:
         thread.start()
     for _ in range(2):
