--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -204,14 +204,14 @@
     modules = (
         "membership",
         "fleet_node",
-        "voice",
+        "gossip",
         "packets",
         "codec",
-        "passing",
+        "quota_lending",
         "agreement",
         "fleet_link",
         "summary",
-        "doubts_shared",
+        "shared_ejections",
         "hmac",
     )
     assert not [name for name in modules if name in loaded], loaded
