--- a/carthinge/fleet/budget_transfer.py
+++ b/carthinge/fleet/budget_transfer.py
@@ -15,12 +15,18 @@
 from collections.abc import Sequence
 from typing import Final
 
-from carthinge.fleet.quota_lending import BUSY, IDLE, NEIGHBOURS, BudgetRequest, budget_id
+from carthinge.fleet.quota_lending import (
+    BUSY_FILL_LEVEL,
+    IDLE_FILL_LEVEL,
+    NEIGHBOURS,
+    BudgetRequest,
+    budget_id,
+)
 from carthinge.fleet.retry_budget import EARNED_PER_SERVED_JOB
 
 UNITS_PER_RETRY: Final = 1000
-PIECES: Final = 8  # the maximal balance is transferred in that many pieces
-MAX_PENDING: Final = 2 * NEIGHBOURS  # requests; older ones than two passes over the givers are dropped
+PIECES_PER_BALANCE: Final = 8  # the maximal balance over the units of one transfer
+MAX_PENDING_REQUESTS: Final = 2 * NEIGHBOURS  # older ones than two passes over the givers are dropped
 
 
 class BudgetTransfer:
@@ -44,12 +50,12 @@
 
     def make_request(self, retries_left: float, givers: Sequence[str]) -> BudgetRequest | None:
         """Return a request if the balance ``retries_left`` is low; called once a period."""
-        if not givers or retries_left >= BUSY * self.max_retries:
+        if not givers or retries_left >= BUSY_FILL_LEVEL * self.max_retries:
             return None
         self._number += 1
         giver = givers[self._number % len(givers)]
         self._pending[self._number] = giver
-        while len(self._pending) > MAX_PENDING:
+        while len(self._pending) > MAX_PENDING_REQUESTS:
             del self._pending[next(iter(self._pending))]
         return BudgetRequest(giver, self.budget, self._number, self._piece())
 
@@ -59,7 +65,9 @@
             return 0
         self._answered = {name: last for name, last in self._answered.items() if name in takers}
         self._answered[taker] = number
-        units = min(units, self._piece(), int((retries_left - IDLE * self.max_retries) * UNITS_PER_RETRY))
+        units = min(
+            units, self._piece(), int((retries_left - IDLE_FILL_LEVEL * self.max_retries) * UNITS_PER_RETRY)
+        )
         if units <= 0:
             return 0
         self.given += units
@@ -74,4 +82,4 @@
         return units
 
     def _piece(self) -> int:
-        return int(self.max_retries * UNITS_PER_RETRY) // PIECES
+        return int(self.max_retries * UNITS_PER_RETRY) // PIECES_PER_BALANCE
--- a/carthinge/fleet/gossip.py
+++ b/carthinge/fleet/gossip.py
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self._times_sent: dict[str, int] = {}
-        # With their sizes, grouped by the times sent, so that choosing looks only at what it chooses.
+        # Updates with their sizes, grouped by the times sent: ``take`` visits only those that it returns.
         self._groups: list[dict[str, tuple[Rumor, int]]] = []
 
     def add(self, rumor: Rumor) -> None:
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -136,7 +136,7 @@
         )
 
     def log_line(self, now: int) -> str:
-        """Return a log line if shedding has started since the last one, at most one per interval; else ""."""
+        """Return a log line if shedding has begun since the last one, at most one per interval; else ""."""
         if self.rises == self._logged_rises or 0 <= self._logged_at > now - LOG_INTERVAL_S * 1e6:
             return ""
         self._logged_at, self._logged_rises = now, self.rises
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -46,7 +46,7 @@
         self._seeds = [other for other in seeds if other != address]
         self._former: list[str] = []  # addresses of the members known before this process was stopped
         self._rng = Random(seed)
-        self._agenda = Agenda()
+        self._timers = Agenda()
         self._last_number = self._rounds = 0
         self._ping_order: list[str] = []  # names left in this pass over all members
         self._gossip_order: list[str] = []  # the same for gossip
@@ -56,13 +56,13 @@
         self._awaiting_page = False
         self._joining = True  # until the whole list has been received
         self._last_active = now
-        self._agenda.at(now, self._round)
+        self._timers.at(now, self._round)
 
     # ---- queries -----------------------------------------------------------------------------
 
     def due(self) -> timedelta:
         """When ``tick`` has to be called next."""
-        return self._agenda.due()
+        return self._timers.due()
 
     def live_members(self) -> list[Member]:
         """The other members that are alive or suspected."""
@@ -81,7 +81,7 @@
     def tick(self, now: timedelta) -> list[OutgoingPacket]:
         """Do what is due by now; return the messages to send."""
         self._detect_pause(now)
-        self._agenda.run(now)
+        self._timers.run(now)
         return self.gossip.take_queued()
 
     def handle_packet(self, now: timedelta, packet: Packet) -> list[OutgoingPacket]:
@@ -102,8 +102,8 @@
         self.left = True
         for member in self.live_members():
             self.gossip.queue(PacketKind.LEAVE, member)
-        self._agenda.clear()
-        self._agenda.at(now + self.period * limits.RETENTION, lambda later: None)
+        self._timers.clear()
+        self._timers.at(now + self.period * limits.RETENTION, lambda later: None)
         return self.gossip.take_queued()
 
     # ---- rounds ------------------------------------------------------------------------------
@@ -119,16 +119,16 @@
             for known in (self.members, self._live, self._gone, self._sorted, self._by_address):
                 known.clear()
             self._checks.clear()
-            self._agenda.clear()
+            self._timers.clear()
             self._page_start, self._awaiting_page, self._joining = 0, False, True
-            self._agenda.at(now, self._round)
+            self._timers.at(now, self._round)
 
     def _round(self, now: timedelta) -> None:
         """Once a period: start checks, send gossip, ping an unreachable member and continue the sync."""
         if self.left:
             return
         self._rounds += 1
-        self._agenda.at(now + self.period, self._round)
+        self._timers.at(now + self.period, self._round)
         self._start_checks(now)
         sent_to: set[str] = set()
         for _ in range(limits.FANOUT):
@@ -215,9 +215,9 @@
         number = self._last_number
         self._checks[number] = member
         self.gossip.queue(PacketKind.PING, member, number=number)
-        self._agenda.at(now + limits.REPEAT_PING_AFTER * self.period, lambda later: self._repeat_ping(number))
-        self._agenda.at(now + limits.PING_REQ_AFTER * self.period, lambda later: self._send_ping_reqs(number))
-        self._agenda.at(now + limits.CHECK_TIMEOUT * self.period, lambda later: self._time_out(later, number))
+        self._timers.at(now + limits.REPEAT_PING_AFTER * self.period, lambda later: self._repeat_ping(number))
+        self._timers.at(now + limits.PING_REQ_AFTER * self.period, lambda later: self._send_ping_reqs(number))
+        self._timers.at(now + limits.CHECK_TIMEOUT * self.period, lambda later: self._time_out(later, number))
 
     def _repeat_ping(self, number: int) -> None:
         if member := self._checks.get(number):
@@ -249,13 +249,13 @@
         self.gossip.announce(member)
         incarnation = member.incarnation
         timeout = self._refute_timeout() * self._rng.uniform(0.8, 1.2)
-        self._agenda.at(now + timeout, lambda later: self._check_suspect(later, member, incarnation))
+        self._timers.at(now + timeout, lambda later: self._check_suspect(later, member, incarnation))
 
     def _check_suspect(self, now: timedelta, member: Member, incarnation: int) -> None:
         if member.state is not MemberState.SUSPECT or member.incarnation != incarnation:
             return
         if len(self._checks) >= self._max_checks():
-            self._agenda.at(now + self.period / 2, lambda at: self._check_suspect(at, member, incarnation))
+            self._timers.at(now + self.period / 2, lambda at: self._check_suspect(at, member, incarnation))
         elif not self._in_check(member):
             self._start_check(now, member)
 
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -1,6 +1,6 @@
 """Lending of quotas from idle members to busy ones; the sum of all shares never exceeds the total.
 
-Each member owns ``BASE`` units of each budget; all members together own the total.  A busy member asks a
+Each member owns the same number of units of each budget; together they own the total.  A busy member asks a
 neighbour, which deducts the granted units from its own share first, for the duration of the loan; the busy
 one adds them to its share for the same duration, counted from when it *asked*.  It asked before the grant
 was made, so it stops using the units before the lender takes them back: clocks are never compared, only
@@ -25,14 +25,14 @@
 NEIGHBOURS: Final = 8  # members that a member lends to, and as many that it borrows from
 LOAN_PERIODS: Final = 10
 DRIFT: Final = 1.02  # the lender's loan is longer by that: clock rates may be off by one per cent each
-BUSY: Final = 0.25  # fill level of a quota below which its owner asks
-IDLE: Final = 0.75  # fill level above which its owner lends
-UNKNOWN: Final = 0.5  # assumed fill level of an unknown quota: its owner neither asks nor lends
+BUSY_FILL_LEVEL: Final = 0.25  # below that a quota's owner borrows
+IDLE_FILL_LEVEL: Final = 0.75  # above that it lends
+ASSUMED_FILL_LEVEL: Final = 0.5  # if not known; its owner neither borrows nor lends
 MAX_REQUESTS: Final = 8  # per period, for all budgets together
 
 
 @lru_cache(maxsize=8192)
-def point(name: str) -> int:
+def ring_position(name: str) -> int:
     """A member's position in the ring of all members, the same at every scheduler."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "little")
 
@@ -101,12 +101,12 @@
         members = frozenset(others)
         if members != self._members:
             self._members = members
-            self._ring = sorted([*members, self.name], key=point)
+            self._ring = sorted([*members, self.name], key=ring_position)
 
     def available_units(self, now: timedelta, budget: int, ahead: timedelta = timedelta()) -> int:
         """The units that this member may use from now on for a duration of ``ahead``, if it lends no more.
 
-        From ``BASE - LENDABLE`` to ``BASE + LENDABLE``."""
+        At least its own units less the lendable ones, at most its own units and as many as are lendable."""
         self._expire(now)
         own = BASE - (LENDABLE if now < self._loans_known_at else self._lent_units(budget))
         return own + sum(
@@ -122,9 +122,9 @@
         requests: list[BudgetRequest] = []
         lenders = self.lenders()
         empty = sorted(
-            (fill_levels.get(budget, UNKNOWN), budget)
+            (fill_levels.get(budget, ASSUMED_FILL_LEVEL), budget)
             for budget in self.budgets
-            if fill_levels.get(budget, UNKNOWN) < BUSY
+            if fill_levels.get(budget, ASSUMED_FILL_LEVEL) < BUSY_FILL_LEVEL
         )
         for _, budget in empty[:MAX_REQUESTS] if lenders else ():
             units = max_loan(len(self._ring)) // 2  # two loans at a time, so that they can overlap
@@ -157,7 +157,11 @@
         self._answered[borrower] = (number, now)
         lendable = LENDABLE - self._lent_units(budget)
         units = min(units, max_loan(len(self._ring)) // 2, lendable)
-        if units <= 0 or fill_levels.get(budget, UNKNOWN) <= IDLE or borrower not in self.borrowers():
+        if (
+            units <= 0
+            or fill_levels.get(budget, ASSUMED_FILL_LEVEL) <= IDLE_FILL_LEVEL
+            or borrower not in self.borrowers()
+        ):
             return 0
         self.lent.append(_Loan(budget, units, now + self.loan_duration * DRIFT))
         self.granted += units
--- a/carthinge/fleet/shared_ejections.py
+++ b/carthinge/fleet/shared_ejections.py
@@ -19,7 +19,7 @@
 from datetime import timedelta
 from typing import Final
 
-from carthinge.fleet.quota_lending import point
+from carthinge.fleet.quota_lending import ring_position
 from carthinge.fleet.summary import ReceivedSummary
 from carthinge.records import mix
 
@@ -133,6 +133,6 @@
         ranks = self._ranks.get(worker)
         if ranks is None:
             mixed = mix(worker)
-            order = sorted(self._members, key=lambda name: mix(point(name) ^ mixed), reverse=True)
+            order = sorted(self._members, key=lambda name: mix(ring_position(name) ^ mixed), reverse=True)
             ranks = self._ranks[worker] = {name: rank for rank, name in enumerate(order)}
         return ranks
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -12,7 +12,12 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
 from ledger_world import PERIOD, LedgerWorld, partitions, run_budgets, run_ledgers
 
-from carthinge.fleet.budget_transfer import MAX_PENDING, PIECES, UNITS_PER_RETRY, BudgetTransfer
+from carthinge.fleet.budget_transfer import (
+    MAX_PENDING_REQUESTS,
+    PIECES_PER_BALANCE,
+    UNITS_PER_RETRY,
+    BudgetTransfer,
+)
 from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
 
 
@@ -123,7 +128,7 @@
     giver, taker = BudgetTransfer(1), BudgetTransfer(1000)
     for transfer in (giver, taker):
         transfer.set_max_retries(8.0)
-    piece = int(8.0 * UNITS_PER_RETRY) // PIECES
+    piece = int(8.0 * UNITS_PER_RETRY) // PIECES_PER_BALANCE
     request = taker.make_request(1.0, ["faulty", "m1"])
     assert request and request.units == piece and taker.make_request(2.0, ["m1"]) is None  # a quarter is left
     assert not taker.receive("other", request.number, 1)
@@ -132,5 +137,5 @@
     assert not taker.receive(request.lender, request.number, piece)
     assert giver.grant("m2", 7, piece, 6.4, ["m2"]) == 400  # what exceeds three quarters
     assert not giver.grant("m2", 7, piece, 8.0, ["m2"]) and not giver.grant("m3", 8, piece, 8.0, ["m2"])
-    numbers = [taker.make_request(0.0, ["faulty"]).number for _ in range(MAX_PENDING + 5)]
-    assert sum(taker.receive("faulty", number, piece) for number in numbers) == MAX_PENDING * piece
+    numbers = [taker.make_request(0.0, ["faulty"]).number for _ in range(MAX_PENDING_REQUESTS + 5)]
+    assert sum(taker.receive("faulty", number, piece) for number in numbers) == MAX_PENDING_REQUESTS * piece
