--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -77,7 +77,7 @@
 
 
 async def kills(count: int, seed: int) -> dict[str, Any]:  # noqa: PLR0915  (a linear script)
-    """Kills the scheduler at points drawn from the seed while clients send jobs, and audits the result."""
+    """Kill the scheduler at points drawn from the seed while clients send jobs, and audit the result."""
     rng = random.Random(seed)
     fleet = Fleet(6, lambda worker_rng: worker_rng.choice((0.0, 0.005, 0.02, 0.2)), seed)
     await fleet.start()
@@ -87,7 +87,7 @@
     stopping = asyncio.Event()
 
     async def client(number: int) -> None:
-        """Sends jobs; if the connection breaks, the job is sent again with the same key."""
+        """Send jobs; if the connection breaks, the job is sent again with the same key."""
         client_rng = random.Random(seed * 1000 + number)
         connection = Connection(scheduler.host, scheduler.port)
         step = requests = 0
@@ -210,7 +210,7 @@
 
 
 async def recovery(jobs: int) -> dict[str, float]:
-    """Starts on a store with this many open jobs, and calls /up meanwhile."""
+    """Start on a store with this many open jobs, and call /up meanwhile."""
     scheduler = Scheduler([("s-0", "127.0.0.1:1")], OPTIONS)  # no worker at this address: no job is sent
     scheduler.start()
     await scheduler.wait_until_up()
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -316,7 +316,7 @@
     """Measure the attempts and probes per second to a dead worker, once one scheduler has detected that.
 
     ``_again`` counts those of schedulers that have detected it themselves; the others are first attempts, one
-    per scheduler, which cannot be avoided without talk."""
+    per scheduler, which cannot be avoided without messages among schedulers."""
     before, during = (2, 6) if quick else (5, 20)
     figures: dict[str, Any] = {}
     for kind in (FaultKind.REFUSES, FaultKind.SILENT):
--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -146,10 +146,12 @@
     def retry_budget_left(self) -> float:
         return 0.0
 
-    def step(self, talk: FleetNode | None) -> None:
+    def step(self, fleet_node: FleetNode | None) -> None:
         now = self.net.now
         shared = (
-            talk.view.ejections.avoid_until.get(self.WORKER, timedelta()) if talk is not None else timedelta()
+            fleet_node.view.ejections.avoid_until.get(self.WORKER, timedelta())
+            if fleet_node is not None
+            else timedelta()
         )
         if now >= max(self.next_attempt_at, shared):
             self.attempts.append(now)
@@ -162,10 +164,10 @@
     """Return the attempts per second at one failing worker, in the first ten seconds and after that."""
     net = fleet(size, 5, 0.01)
     probing = {name: ProbingScheduler(net, Random(at)) for at, name in enumerate(net.nodes)}
-    talks = {}
+    fleet_nodes = {}
     for at, (name, machine) in enumerate(list(net.nodes.items())):
         if with_talk:
-            talks[name] = net.nodes[name] = FleetNode(machine, 1, (), 1000 + at, probing[name], net.now)
+            fleet_nodes[name] = net.nodes[name] = FleetNode(machine, 1, (), 1000 + at, probing[name], net.now)
             net._schedule(name)
     net.run(3 * SECOND)
     began = net.now
@@ -174,7 +176,7 @@
     for _ in range(seconds * 20):
         net.run(SECOND / 20)
         for name, scheduler in probing.items():
-            scheduler.step(talks.get(name))
+            scheduler.step(fleet_nodes.get(name))
     attempts = [(at - began).total_seconds() for scheduler in probing.values() for at in scheduler.attempts]
     later = [at for at in attempts if at >= 10]
     return {
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,7 +1,7 @@
 """A scheduler process, stub workers and clients for the benchmarks, on loopback and asyncio.
 
-The workers log the jobs that they ran and the clients the answers that they got; the auditors of the
-benchmarks compare the two.  No code here is shared with the scheduler.
+The workers log the jobs that they ran and the clients the answers that they got; the benchmarks compare the
+two.  No code here is shared with the scheduler.
 """
 
 from __future__ import annotations
@@ -131,7 +131,7 @@
     async def call(
         self, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Raises OSError if the connection ends before the whole response is received."""
+        """Make a call; raises OSError if the connection ends before the whole response is received."""
         if self._streams is None:
             self._streams = await asyncio.open_connection(*self._address)
         reader, writer = self._streams
--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -91,8 +91,8 @@
         self.time += PERIOD
         for name, ledger in self.ledgers.items():
             ledger.set_members([other for other in self.side(name) if other != name])
-            for asking in ledger.make_requests(self.now(name), {0: left[name]}):
-                self.send("ask", name, asking.lender, asking.number, asking.units)
+            for loan_request in ledger.make_requests(self.now(name), {0: left[name]}):
+                self.send("ask", name, loan_request.lender, loan_request.number, loan_request.units)
         for _ in range(3):
             self.deliver(left)
         self.check()
@@ -126,7 +126,7 @@
     def __init__(self, size: int, seed: int) -> None:
         super().__init__(size, seed)
         self.budgets: dict[str, RetryBudget] = {}
-        self.gifts: dict[str, BudgetTransfer] = {}
+        self.transfers: dict[str, BudgetTransfer] = {}
         self.unspent = 0.0  # retries granted at starts and earned by served jobs, minus those spent
         for name in self.names:
             self.start(name)
@@ -134,8 +134,11 @@
     def start(self, name: str) -> None:
         """Start as after a crash: the retries left and the open requests are lost."""
         self.incarnation += 1000
-        self.budgets[name], self.gifts[name] = RetryBudget(len(self.names)), BudgetTransfer(self.incarnation)
-        self.gifts[name].set_max_retries(self.budgets[name].max_retries)
+        self.budgets[name], self.transfers[name] = (
+            RetryBudget(len(self.names)),
+            BudgetTransfer(self.incarnation),
+        )
+        self.transfers[name].set_max_retries(self.budgets[name].max_retries)
         self.unspent += self.budgets[name].retries_left
 
     def period(self, busy: Sequence[str], served: int = 40) -> None:
@@ -150,17 +153,17 @@
                 budget.spend()
                 self.unspent -= 1
             others = [other for other in self.side(name) if other != name]
-            if asking := self.gifts[name].make_request(budget.retries_left, others):
-                self.send("ask", name, asking.lender, asking.number, asking.units)
+            if loan_request := self.transfers[name].make_request(budget.retries_left, others):
+                self.send("ask", name, loan_request.lender, loan_request.number, loan_request.units)
         for _ in range(3):
             for kind, sender, to, number, units in self.receive_due():
                 others = [other for other in self.side(to) if other != to]
-                gifts, budget = self.gifts[to], self.budgets[to]
+                transfers, budget = self.transfers[to], self.budgets[to]
                 if kind == "grant":
-                    budget.transfer(gifts.receive(sender, number, units) / UNITS_PER_RETRY)
-                elif given := gifts.grant(sender, number, units, budget.retries_left, others):
-                    budget.transfer(-given / UNITS_PER_RETRY)
-                    self.send("grant", to, sender, number, given)
+                    budget.transfer(transfers.receive(sender, number, units) / UNITS_PER_RETRY)
+                elif granted := transfers.grant(sender, number, units, budget.retries_left, others):
+                    budget.transfer(-granted / UNITS_PER_RETRY)
+                    self.send("grant", to, sender, number, granted)
                 self.check()
 
     def check(self) -> None:
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -39,10 +39,10 @@
 
 class Engine(Protocol):
     def apply(self, numbers: range, end: bool) -> None:
-        """Accepts and grants these jobs, and ends them if ``end`` is set; durable on return."""
+        """Accept and grant these jobs, and end them if ``end`` is set; durable on return."""
 
     def recover(self) -> int:
-        """Reads all open jobs back into memory, as after a start, and returns their number."""
+        """Read all open jobs back into memory, as after a start, and return their number."""
 
 
 def records(numbers: range, end: bool) -> list[Any]:
--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -1,4 +1,4 @@
-"""A simulation whose schedulers exchange messages: the pure state machines of the talk are run as well."""
+"""A simulation whose schedulers exchange messages through the fleet's pure state machines."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class TalkEndpoint:
-    """The talk of one scheduler, from a start to the next."""
+    """The fleet node of one scheduler, from a start to the next."""
 
     def __init__(self, simulation: TalkingSimulation, position: int, restarts: int) -> None:
         self.simulation, self.scheduler = simulation, simulation.schedulers[position]
         self.module: Any = self.scheduler.module
-        self.insight = FleetAdapter(self.module, {}, len(simulation.world.job_profiles))
+        self.adapter = FleetAdapter(self.module, {}, len(simulation.world.job_profiles))
         self.name, self._seen_changes, self._due = f"s{position}", 0, 0
         rng, now = Random(f"{simulation.seed}/talk/{position}/{restarts}"), simulation.clock.now * MICROSECOND
         member = Membership(
@@ -41,24 +41,26 @@
             member.handle_packet(now, Packet(PacketKind.GOSSIP, other, other, 1000, rumors=simulation.rumors))
             member.gossip.rumors.clear()
             member.gossip.take_queued()
-        self.talk = FleetNode(
+        self.fleet_node = FleetNode(
             member, 7, (), rng.getrandbits(40), self, now + rng.random() * simulation.period
         )
         self.module.handle(simulation.clock.now, [io.FleetView()])
         self.schedule_tick()
 
     def observe(self, workers: Collection[int]) -> Observations:
-        return self.insight.observe(workers, self.simulation.clock.now)
+        return self.adapter.observe(workers, self.simulation.clock.now)
 
     def retry_budget_left(self) -> float:
         return float(self.module.context.budget.retries_left)
 
     def receive(self, packet: Packet) -> None:
         if self.scheduler.module is self.module:
-            self._handle_result(self.talk.handle_packet(self.simulation.clock.now * MICROSECOND, packet))
+            self._handle_result(
+                self.fleet_node.handle_packet(self.simulation.clock.now * MICROSECOND, packet)
+            )
 
     def schedule_tick(self) -> None:
-        due = max(self.simulation.clock.now + 1, -(-self.talk.due() // MICROSECOND))
+        due = max(self.simulation.clock.now + 1, -(-self.fleet_node.due() // MICROSECOND))
         if not self._due or due < self._due:
             self._due = due
             self.simulation.clock.call_at(due, self._tick, due)
@@ -66,19 +68,19 @@
     def _tick(self, due: int) -> None:
         if due == self._due and self.scheduler.module is self.module:
             self._due = 0
-            self._handle_result(self.talk.tick(due * MICROSECOND))
+            self._handle_result(self.fleet_node.tick(due * MICROSECOND))
 
     def _handle_result(self, outgoing: list[tuple[str, Packet]]) -> None:
-        if self.talk.changes != self._seen_changes:
-            self._seen_changes = self.talk.changes
-            self.scheduler.handle_event(self.insight.view(self.talk, ()))
+        if self.fleet_node.changes != self._seen_changes:
+            self._seen_changes = self.fleet_node.changes
+            self.scheduler.handle_event(self.adapter.view(self.fleet_node, ()))
         for to, packet in outgoing:
             self.simulation.deliver(to, packet)
         self.schedule_tick()
 
 
 class TalkingSimulation(Simulation):
-    """A simulation with talk every ``period``; no message is lost."""
+    """A simulation with messages every ``period``; none is lost."""
 
     def __init__(self, *arguments: Any, period: timedelta = timedelta(seconds=1)) -> None:
         super().__init__(*arguments)
--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -47,7 +47,7 @@
         loop: Loop,
         tracker: RequestTracker,
         limits: Limits,
-        register: Register,
+        index: Register,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
         self.shed_by_reason: dict[str, int] = dict.fromkeys((reason.name.lower() for reason in ShedReason), 0)
@@ -55,18 +55,18 @@
         self._loop = loop
         self._tracker = tracker
         self._limits = limits
-        self._register = register
+        self._index = index
         self._terms_of = terms_of
-        self._unwritten: list[tuple[timedelta, int, Held]] = []  # a heap: timeout, number, job
+        self._unwritten: list[tuple[timedelta, int, Held]] = []  # heap of (time limit, number, job)
         self._unwritten_timer: Timer | None = None
 
     def submit(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter, arrived: timedelta) -> None:
         """Submit a request received at ``arrived``; ``waiter`` is notified of the outcome."""
         digest = request_digest(job.subject, job.body)
         hashed_key = key_digest(terms.tenant_name, terms.class_name, key) if key is not None else None
-        other = self._register.by_key.get(hashed_key) if hashed_key is not None else None
-        if other is not None and not (other.ending and other.ending.state is JobState.REFUSED):
-            self._join(other, digest, waiter)
+        existing = self._index.by_key.get(hashed_key) if hashed_key is not None else None
+        if existing is not None and not (existing.ending and existing.ending.state is JobState.REFUSED):
+            self._join(existing, digest, waiter)
             return
         writer = self._jobs.writer
         reason = (
@@ -100,7 +100,7 @@
         )
         durable_job = Held(self._jobs, accepted)
         durable_job.add_waiter(waiter)
-        self._register.add(durable_job)
+        self._index.add(durable_job)
         now = self._loop.now
         timeout_at = now + min(ACCEPT_TIMEOUT, MAX_ACCEPT_TIME_SHARE * (arrived + terms.timeout - now))
         heappush(self._unwritten, (timeout_at, accepted.number, durable_job))
@@ -113,7 +113,7 @@
     def _on_disk(self, durable_job: Held, found: FoundJob | None) -> None:
         accepted, durable_job.on_disk = durable_job.accepted, True
         if found is not None:  # another job has its key
-            self._register.remove(durable_job)
+            self._index.remove(durable_job)
             for waiter in durable_job.waiters:
                 self._answer_found(found, accepted.digest, waiter)
             return
@@ -167,7 +167,7 @@
         if found.digest != digest:
             waiter.key_mismatch()
         elif found.state is JobState.OPEN:
-            durable_job = self._register.by_number.get(found.number)
+            durable_job = self._index.by_number.get(found.number)
             if durable_job is not None and durable_job.ending is None:
                 self._join(durable_job, digest, waiter)
             else:  # its refusal is being written
--- a/carthinge/durable/attempt_leases.py
+++ b/carthinge/durable/attempt_leases.py
@@ -30,16 +30,16 @@
         duration: timedelta,
         entry_of: Callable[[int], io.WorkerEntry],
         target_of: Callable[[str, Address], WorkerEndpoint],
-        expired: Callable[[Attempt], None],
+        on_expired: Callable[[Attempt], None],
     ) -> None:
         """``entry_of`` returns a worker's listed entry, ``target_of`` a worker by its name, listed or not;
-        ``expired`` is called for an attempt whose lease has expired."""
+        ``on_expired`` is called for an attempt whose lease has expired."""
         self.leases: Leases[Attempt] = Leases(duration)
         self.expired = 0
         self._loop = loop
         self._entry_of = entry_of
         self._target_of = target_of
-        self._on_expired = expired
+        self._on_expired = on_expired
         self._timer: Timer | None = None
         self._encoded_entries: dict[int, tuple[io.WorkerEntry, bytes]] = {}
 
--- a/carthinge/durable/check.py
+++ b/carthinge/durable/check.py
@@ -54,7 +54,7 @@
             if crc != expected_crc:
                 yield f"job {number:x}: its {part} is damaged"
     for token, job in database.execute(
-        "SELECT token, job FROM attempts WHERE job NOT IN " "(SELECT number FROM jobs)"
+        "SELECT token, job FROM attempts WHERE job NOT IN (SELECT number FROM jobs)"
     ):
         yield f"attempt {token:x}: its job {job:x} does not exist"
     log = folder / f"{DATABASE_FILE}-wal"
--- a/carthinge/durable/cli.py
+++ b/carthinge/durable/cli.py
@@ -1,6 +1,6 @@
 """``carthinge store``: inspects or compacts a store, without a scheduler.
 
-Imports that only these commands need are local, since the scheduler imports this module, too.
+Imports that only these commands need are local, since the scheduler's entry point imports this module too.
 """
 
 from __future__ import annotations
@@ -68,15 +68,15 @@
         f"{folder}: format {summary['format']}, opened {summary['epoch']} times, "
         f"{summary['bytes_used']:,} bytes in use, {summary['bytes_free']:,} free"
     )
-    counts = Table("class", "tenant", "state", "jobs", title="jobs")
+    count_table = Table("class", "tenant", "state", "jobs", title="jobs")
     for row in summary["jobs"]:
-        counts.add_row(row["class"], row["tenant"], row["state"], f"{row['jobs']:,}")
-    console.print(counts)
-    listed = Table(
+        count_table.add_row(row["class"], row["tenant"], row["state"], f"{row['jobs']:,}")
+    console.print(count_table)
+    open_table = Table(
         "number", "request", "class", "tenant", "attempts", "out at", title="open, the oldest first"
     )
     for row in summary["open"]:
-        listed.add_row(
+        open_table.add_row(
             f"{row['number']:x}",
             row["req_id"],
             row["class"],
@@ -84,7 +84,7 @@
             str(row["attempts"]),
             row["out_at"] or "-",
         )
-    console.print(listed)
+    console.print(open_table)
 
 
 @app.command()
--- a/carthinge/durable/handover.py
+++ b/carthinge/durable/handover.py
@@ -17,9 +17,9 @@
 from carthinge.net.tracked_request import Attempt
 
 SEND_TIMEOUT: Final = timedelta(milliseconds=500)  # after it, attempts being sent count as perhaps sent
-WRITE_TIMEOUT: Final = timedelta(seconds=1.2)  # after that; the other process waits for 2 s in all
+WRITE_TIMEOUT: Final = timedelta(seconds=1.2)  # then for pending records; the successor waits 2 s in all
 POLL_INTERVAL: Final = timedelta(milliseconds=10)
-REOPEN_TIMEOUT: Final = timedelta(seconds=5)  # a process that is being killed holds the store a moment longer
+REOPEN_TIMEOUT: Final = timedelta(seconds=5)  # a killed process keeps its lock until it has exited
 
 
 class StoreHandover:
@@ -28,7 +28,7 @@
     def __init__(
         self, jobs: DurableJobs, busy: Callable[[Attempt], bool], done: Callable[[bool], None]
     ) -> None:
-        """``done`` is called with whether another process may open the store now.
+        """``done`` is called with whether the successor may open the store now.
 
         ``busy`` returns whether an attempt is being sent to its worker, which is given time to finish.
         """
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -1,4 +1,4 @@
-"""An open durable job, as the tracker sees it, with the waiters for its end."""
+"""An open durable job: its state, its waiters, and the tracker's client and recorder for it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Waiter(Protocol):
-    """Is notified about a job; at most one of ``ended``, ``shed`` and ``mismatch`` is called."""
+    """Is notified about a job; at most one of ``ended``, ``shed`` and ``key_mismatch`` is called."""
 
     durable_job: Held | None  #: the job that it waits for; set by the job
 
--- a/carthinge/durable/job_names.py
+++ b/carthinge/durable/job_names.py
@@ -35,7 +35,7 @@
 
 
 def _digest(*parts: bytes) -> bytes:
-    # The lengths keep different lists from having the same encoding.
+    # Without the lengths, different lists of parts could have the same encoding.
     lengths = b"".join([len(part).to_bytes(4, "big") for part in parts])
     return blake2b(lengths + b"".join(parts), digest_size=16).digest()
 
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -49,7 +49,7 @@
         loop: Loop,
         tracker: RequestTracker,
         options: Options,
-        boot: str,
+        boot_id: str,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
         entry_of: Callable[[int], io.WorkerEntry],
         target_of: Callable[[str, Address], WorkerEndpoint],
@@ -74,7 +74,7 @@
         self._tracker = tracker
         self._admission = Admission(self, loop, tracker, self.limits, self.register, terms_of)
         self._options = durable
-        self._boot = boot
+        self._boot_id = boot_id
         self._store = Store(Path(durable.folder), durable.max_store_bytes)
         self.read_back = ReadBack(
             self,
@@ -144,7 +144,7 @@
 
     def has_request(self, req_id: str) -> bool:
         """Whether a durable job with that request id is open here."""
-        return req_id in self.register.by_req
+        return req_id in self.register.by_req_id
 
     def metrics(self) -> dict[str, object]:
         """Return the current metrics."""
@@ -172,7 +172,7 @@
     def time(self) -> Time:
         """Return the time for the store; also called from its thread."""
         clock = self.loop.clock
-        return Time(clock.now() // MICROSECOND, clock.wall() // MICROSECOND, self._boot)
+        return Time(clock.now() // MICROSECOND, clock.wall() // MICROSECOND, self._boot_id)
 
     def name(self, number: int) -> str:
         """Return the name by which clients refer to a job."""
@@ -297,7 +297,7 @@
         A result counts only if its token is that of the job's latest attempt and no attempt is open.  A
         callback whose result is on disk already is acknowledged again.
         """
-        durable_job = self.register.by_req.get(req_id)
+        durable_job = self.register.by_req_id.get(req_id)
         if durable_job is None:
             self._acknowledge_recorded(token, done)
         elif durable_job.ending is not None and durable_job.result_token == token:
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -31,13 +31,13 @@
         jobs: JobRecorder,
         loop: Loop,
         tracker: RequestTracker,
-        register: Register,
+        index: Register,
         attempt_leases: AttemptLeases,
         per_s: float,
         path: Path,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
-        """``per_s``: jobs readmitted per second; ``terms_of``: as in ``DurableJobs``."""
+        """``per_s``: maximum rate of readmission; ``terms_of``: as in ``DurableJobs``."""
         self.loaded = False  #: whether all open jobs have been read
         self.recovered = 0  #: number of jobs read
         self.damaged: set[int] = set()  #: numbers of jobs whose records cannot be read
@@ -45,7 +45,7 @@
         self._jobs = jobs
         self._loop = loop
         self._tracker = tracker
-        self._register = register
+        self._index = index
         self._attempt_leases = attempt_leases
         self._path = path
         self._terms_of = terms_of
@@ -107,10 +107,10 @@
     def _recover(self, stored: StoredJob) -> None:
         accepted = stored.accepted
         durable_job = Held(self._jobs, accepted, on_disk=True, stored_attempts=stored.attempts)
-        durable_job.last_token = max((sent.token for sent in stored.attempts), default=0)
+        durable_job.last_token = max((attempt.token for attempt in stored.attempts), default=0)
         self.recovered += 1
-        self._register.add(durable_job)
-        if any(sent.state is AttemptState.OUT for sent in stored.attempts):
+        self._index.add(durable_job)
+        if any(attempt.state is AttemptState.OUT for attempt in stored.attempts):
             self._restore(durable_job)
         else:
             self.recovery_queue.add(durable_job, accepted.deadline * MICROSECOND)
@@ -139,6 +139,6 @@
             durable_job,
             [self._attempt_leases.convert(attempt) for attempt in stored],
         )
-        for attempt, known in zip(durable_job.tracked.attempts, stored, strict=True):
-            if attempt.open and known.until:
+        for attempt, stored_attempt in zip(durable_job.tracked.attempts, stored, strict=True):
+            if attempt.open and stored_attempt.until:
                 self._attempt_leases.resume(attempt)
--- a/carthinge/durable/recovery.py
+++ b/carthinge/durable/recovery.py
@@ -35,12 +35,12 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, job: Job, give_up: timedelta) -> None:
+    def add(self, job: Job, deadline: timedelta) -> None:
         """Add a job, to wait for its turn or its deadline."""
         self._waiting[job] = None
         self._queue.append(job)
         self._added += 1
-        heappush(self._deadlines, (give_up, self._added, job))
+        heappush(self._deadlines, (deadline, self._added, job))
 
     def remove(self, job: Job) -> bool:
         """Remove a job that has ended or is readmitted; False if it was not waiting."""
--- a/carthinge/durable/register.py
+++ b/carthinge/durable/register.py
@@ -12,25 +12,25 @@
     def __init__(self, limits: Limits) -> None:
         self.by_number: dict[int, Held] = {}
         self.by_key: dict[bytes, Held] = {}
-        self.by_req: dict[str, Held] = {}
+        self.by_req_id: dict[str, Held] = {}
         self._limits = limits
 
     def add(self, durable_job: Held) -> None:
         """Add an open job."""
         accepted = durable_job.accepted
         self.by_number[accepted.number] = durable_job
-        self.by_req[accepted.req_id] = durable_job
+        self.by_req_id[accepted.req_id] = durable_job
         if accepted.key is not None:
             self.by_key[accepted.key] = durable_job
         self._limits.add(accepted.tenant, len(accepted.body))
 
     def remove(self, durable_job: Held) -> None:
-        """Remove a job, if it is in the register."""
+        """Remove a job; does nothing if it is not in the index."""
         accepted = durable_job.accepted
         if self.by_number.pop(accepted.number, None) is None:
             return
-        if self.by_req.get(accepted.req_id) is durable_job:
-            del self.by_req[accepted.req_id]
+        if self.by_req_id.get(accepted.req_id) is durable_job:
+            del self.by_req_id[accepted.req_id]
         if accepted.key is not None and self.by_key.get(accepted.key) is durable_job:
             del self.by_key[accepted.key]
         self._limits.remove(accepted.tenant, len(accepted.body))
--- a/carthinge/durable/store.py
+++ b/carthinge/durable/store.py
@@ -144,8 +144,7 @@
         if content is not None and (found := examine(content)).damaged:
             raise StoreError(
                 f"{wal}: damaged after {found.valid_commits} commits, with {found.later_commits} more behind "
-                "that, whose jobs would be lost. Restore it, or move it away to continue without "
-                "them"
+                "that, whose jobs would be lost. Restore it, or move it away to continue without them"
             )
 
     def _prepare(self, time: Time) -> None:
@@ -243,7 +242,7 @@
             self._execute_rows(
                 "WITH v(token, state) AS (VALUES ",
                 "(?,?)",
-                ") UPDATE attempts SET state = v.state " "FROM v WHERE attempts.token = v.token",
+                ") UPDATE attempts SET state = v.state FROM v WHERE attempts.token = v.token",
                 [(r.token, int(r.state)) for r in batch if isinstance(r, AttemptFailed)],
             )
             self._execute_rows(
--- a/carthinge/durable/wal.py
+++ b/carthinge/durable/wal.py
@@ -1,7 +1,7 @@
 """Distinguishes a torn end of SQLite's write-ahead log from damage in its middle.
 
-SQLite silently ignores a log from its first invalid frame on.  That is right for an end that was torn by a
-crash.  It is wrong for damage further up: commits after it, which were acknowledged, would be lost silently.
+SQLite silently ignores a log from its first invalid frame on.  That is right for an end torn by a crash,
+and wrong for damage before the end: later commits, which were acknowledged, would be lost silently.
 With ``synchronous=FULL`` a commit is synced before the next one begins, so a crash can tear the last commit
 only.  So if two commits or more end at or after the first invalid frame, that frame was valid once.
 
@@ -25,8 +25,8 @@
     """The frames of a log."""
 
     valid_frames: int  #: frames before the first invalid one
-    valid_commits: int  #: that end among these
-    later_commits: int  #: that end at or after the first invalid frame
+    valid_commits: int  #: commits that end in these frames
+    later_commits: int  #: commits that end at or after the first invalid frame
 
     @property
     def damaged(self) -> bool:
--- a/carthinge/model/clients.py
+++ b/carthinge/model/clients.py
@@ -13,7 +13,7 @@
 from carthinge.model.virtual_clock import SECOND, VirtualClock, micros
 from carthinge.model.world import World, lognormal
 
-QUOTA_BURST_SECONDS = 3.0  # burst of a tenant that still counts as within its quota
+QUOTA_BURST_SECONDS = 3.0  # seconds of its quota that a tenant may use at once
 
 
 class LoadBalancer(Protocol):
@@ -161,7 +161,7 @@
             at = end
 
     def _arrive(self) -> None:
-        job = self._draw()
+        job = self._draw_job()
         self.jobs += 1
         second = self._tally.second_at(self.clock.now)
         second.arrivals += 1
@@ -169,7 +169,7 @@
         self._send_request(job)
         self._schedule_next()
 
-    def _draw(self) -> ClientJob:
+    def _draw_job(self) -> ClientJob:
         rng, world, now = self._rng, self._world, self.clock.now
         job_class = min(bisect.bisect(self._profile_sums, rng.random()), self._profile_count - 1)
         tenant = min(bisect.bisect(self._tenant_sums, rng.random()), max(0, self._tenant_count - 1))
@@ -193,10 +193,10 @@
             deadline,
             retries,
             rng.random() < world.clients.follow_retry_after,
-            self._key(),
+            self._draw_key(),
         )
 
-    def _key(self) -> int:
+    def _draw_key(self) -> int:
         return 1 + bisect.bisect(self._key_sums[:-1], self._key_rng.random()) if self._key_count else 0
 
     def _within_quota(self, tenant: int) -> bool:
--- a/carthinge/model/scheduler.py
+++ b/carthinge/model/scheduler.py
@@ -163,8 +163,8 @@
     def report_result(self, attempt: Attempt, result: io.Result, report: tuple[float, ...]) -> None:
         """Receive the result of an attempt; only the first one counts."""
         if attempt.open:
-            given_up = attempt.withdrawn_as if result is io.Result.CANCELLED else None
-            self._close(attempt, given_up or result, report)
+            withdrawn_as = attempt.withdrawn_as if result is io.Result.CANCELLED else None
+            self._close(attempt, withdrawn_as or result, report)
             self._process_events()
 
     def _close(self, attempt: Attempt, result: io.Result, report: tuple[float, ...] = ()) -> None:
--- a/carthinge/model/world.py
+++ b/carthinge/model/world.py
@@ -11,7 +11,7 @@
 
 from carthinge import interface as io
 
-NONE = timedelta()
+NO_TIME = timedelta()
 
 
 class CancelSupport(Enum):
@@ -164,9 +164,9 @@
 
     def length(self) -> timedelta:
         """Duration of all phases, up to the last arrival."""
-        return sum((load.duration for load in self.loads), NONE)
+        return sum((load.duration for load in self.loads), NO_TIME)
 
     def mean_work(self) -> timedelta:
         """Mean work of a job."""
         total = sum(profile.share for profile in self.job_profiles)
-        return sum((profile.mean() * (profile.share / total) for profile in self.job_profiles), NONE)
+        return sum((profile.mean() * (profile.share / total) for profile in self.job_profiles), NO_TIME)
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -81,7 +81,7 @@
         us = timedelta(microseconds=1)
         terms = real.Terms(arrival.job_class, "", arrival.tenant, "", timeout * us, hint=arrival.hint * us)
 
-        class Waiting:
+        class WaitingClient:
             def has_left(self):
                 return False
 
@@ -96,7 +96,7 @@
 
         job = real.Job(f"{self.position}-{self.tracker._count}", b"", b"")
         self.works[job.id] = work
-        tracked = self.tracker.take(job, terms, Waiting())
+        tracked = self.tracker.take(job, terms, WaitingClient())
         self.tracker.decide_all()
         return tracked
 
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -40,10 +40,9 @@
 class Job:
     """The attempts of a request at its workers."""
 
-    open_attempts: dict[int, int] = field(
-        default_factory=dict
-    )  # attempts neither ended nor withdrawn, with their workers
-    may_have_run: dict[int, float] = field(default_factory=dict)  # attempts, and when they began
+    # Workers of the attempts that have neither ended nor been withdrawn, by attempt.
+    open_attempts: dict[int, int] = field(default_factory=dict)
+    may_have_run: dict[int, float] = field(default_factory=dict)  # start times by attempt
     attempts: int = 0
 
 
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -201,8 +201,10 @@
 
     def may_have_lost(self, request, now):
         """Return whether the process was killed with the request, or after SIGTERM before it had read it."""
-        was_held = any(request.began - KILL_UNCERTAINTY <= killed_at <= now for killed_at in self.kill_times)
-        return was_held or any(
+        killed_with_request = any(
+            request.began - KILL_UNCERTAINTY <= killed_at <= now for killed_at in self.kill_times
+        )
+        return killed_with_request or any(
             request.began - KILL_UNCERTAINTY <= killed_at <= request.sent + KILL_UNCERTAINTY
             for killed_at in self.late_kill_times
         )
--- a/tests/store_shorthands.py
+++ b/tests/store_shorthands.py
@@ -7,14 +7,14 @@
 from carthinge.durable.store import Store, Time
 
 ENTRY = msgspec.msgpack.encode(io.WorkerEntry(7))
-ROOM = 64 * 1024 * 1024
+MAX_STORE_BYTES = 64 * 1024 * 1024
 
 
 def at(now, boot="b", wall=None):
     return Time(now, now if wall is None else wall, boot)
 
 
-def accepted(number, key=None, body=b"body", give_up=10_000_000):
+def accepted(number, key=None, body=b"body", deadline=10_000_000):
     return Accepted(
         number,
         f"r{number}",
@@ -27,7 +27,7 @@
         (("Idempotency-Key", b"k"),),
         Terms(1, 20_000, 1.0, 0.0),
         1,
-        give_up,
+        deadline,
     )
 
 
@@ -40,6 +40,6 @@
 
 
 def opened(folder, time=None, **more):
-    store = Store(folder, more.pop("max_bytes", ROOM), **more)
+    store = Store(folder, more.pop("max_bytes", MAX_STORE_BYTES), **more)
     store.open(time or at(1))
     return store
--- a/tests/test_durable_crashes.py
+++ b/tests/test_durable_crashes.py
@@ -37,14 +37,14 @@
     with World(tmp_path, workers=1, file=FILE.replace("0.4", "5")) as world:
         # The worker's initial limit is four.
         paths = [put(world, f"a{step}", key=f"k{step}") for step in range(5)]
-        out = [accept(world) for _ in range(4)]
+        running = [accept(world) for _ in range(4)]
         world.kill()
         world.restart()
         assert world.metrics()["durable"]["open"] == 5
-        for number, req_id, token in out:
+        for number, req_id, token in running:
             assert world.send_callback(req_id, "done", number, result=req_id, token=token) == 204
         number, req_id, token = accept(world)
-        assert {req_id, *(sent[1] for sent in out)} == {f"a{step}" for step in range(5)}
+        assert {req_id, *(sent[1] for sent in running)} == {f"a{step}" for step in range(5)}
         assert world.send_callback(req_id, "done", number, result=req_id, token=token) == 204
         assert [get(world, path)[1] for path in paths] == [f"a{step}".encode() for step in range(5)]
 
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -18,49 +18,49 @@
 
 
 @pytest.fixture
-def held(tmp_path):
+def world(tmp_path):
     file, settings = FILE.replace("0.4", "9"), {**SETTINGS, "services": PATIENT_SERVICES}
-    with World(tmp_path, workers=2, settings=settings, file=file, held=True) as started:
-        yield started
+    with World(tmp_path, workers=2, settings=settings, file=file, held=True) as running:
+        yield running
 
 
-def test_upgrade_hands_over_store_and_waiting_clients(held):
-    in_place = put(held, "a1", prefer=None)
-    number, req_id, token = accept(held)
-    path = put(held, "a2", key="k2")
-    other, its_id, its_token = accept(held)
-    watching = held.connect().send(f"GET {path} HTTP/1.1\r\nHost: x\r\nPrefer: wait=9\r\n\r\n".encode())
-    old, _ = held.upgrade()
+def test_upgrade_hands_over_store_and_waiting_clients(world):
+    in_place = put(world, "a1", prefer=None)
+    number, req_id, token = accept(world)
+    path = put(world, "a2", key="k2")
+    other, its_id, its_token = accept(world)
+    watching = world.connect().send(f"GET {path} HTTP/1.1\r\nHost: x\r\nPrefer: wait=9\r\n\r\n".encode())
+    old, _ = world.upgrade()
     old.send_signal(signal.SIGTERM)
-    held.wait_for_log("event=alone")
+    world.wait_for_log("event=alone")
     old.wait()
-    assert held.send_callback(req_id, "done", number, result="one", token=token) == 204
-    assert held.send_callback(its_id, "done", other, result="two", token=its_token) == 204
+    assert world.send_callback(req_id, "done", number, result="one", token=token) == 204
+    assert world.send_callback(its_id, "done", other, result="two", token=its_token) == 204
     assert in_place.read()[2] == b"one" and watching.read()[2] == b"two"
-    assert get(held, path)[1] == b"two"
-    assert held.counters()["attempts_written"] == 0
+    assert get(world, path)[1] == b"two"
+    assert world.counters()["attempts_written"] == 0
 
 
-def test_store_returns_if_new_process_is_killed(held):
-    client = put(held, "a1", prefer=None)
-    number, req_id, token = accept(held)
-    (old, operator), new = held.upgrade(), held.process
+def test_store_returns_if_new_process_is_killed(world):
+    client = put(world, "a1", prefer=None)
+    number, req_id, token = accept(world)
+    (old, operator), new = world.upgrade(), world.process
     new.kill()
     new.wait()
-    held.process, held.operator = old, operator
-    held.wait_for_log("taken_back")
-    assert held.send_callback(req_id, "done", number, result="r", token=token) == 204
-    assert put(held, "a2", prefer=None).read()[2] == b"r"
+    world.process, world.operator = old, operator
+    world.wait_for_log("taken_back")
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
+    assert put(world, "a2", prefer=None).read()[2] == b"r"
     client.close()
 
 
-def test_new_process_without_store_changes_nothing(held):
-    client = put(held, "a1", prefer=None)
-    number, req_id, token = accept(held)
-    refused = held.start(RELAY_OPERATOR=f"{HOST}:{free_port()}", CARTHINGE_FILE=str(other_file(held)))
+def test_new_process_without_store_changes_nothing(world):
+    client = put(world, "a1", prefer=None)
+    number, req_id, token = accept(world)
+    refused = world.start(RELAY_OPERATOR=f"{HOST}:{free_port()}", CARTHINGE_FILE=str(other_file(world)))
     assert refused.wait(10) == 4
-    held.wait_for_log("taken_back")
-    assert held.send_callback(req_id, "done", number, result="r", token=token) == 204
+    world.wait_for_log("taken_back")
+    assert world.send_callback(req_id, "done", number, result="r", token=token) == 204
     assert client.read()[2] == b"r"
 
 
@@ -71,12 +71,12 @@
     return path
 
 
-def test_upgrades_under_load_run_each_job_once(held):
+def test_upgrades_under_load_run_each_job_once(world):
     """Clients send job after job on kept connections, and workers serve at once."""
     stop, sent, statuses, errors = threading.Event(), [], [], []
 
     def ask(name):
-        peer = held.connect()
+        peer = world.connect()
         for step in range(1000):
             if stop.is_set():
                 return
@@ -88,29 +88,29 @@
                 if body != BACKLOG_ANSWER:
                     statuses.append((first, body.decode(), req_id))
                 if headers.get("connection") == "close":
-                    peer = held.connect()
+                    peer = world.connect()
             except (OSError, EOFError) as error:
                 errors.append((req_id, repr(error)))
-                peer = held.connect()
+                peer = world.connect()
 
     def work():
         while True:
             try:
-                number, peer, (line, headers, _) = held.next_request()
+                number, peer, (line, headers, _) = world.next_request()
             except (AssertionError, ValueError, OSError):  # the test is over
                 return
             with contextlib.suppress(OSError, EOFError):  # withdrawn in the meantime: continue with the next
                 peer.answer(202)
                 if line.startswith("POST"):
                     sent.append(headers["req-id"])
-                    held.send_callback(headers["req-id"], "done", number, result=headers["req-id"])
+                    world.send_callback(headers["req-id"], "done", number, result=headers["req-id"])
 
     threads = [threading.Thread(target=ask, args=(f"c{n}",)) for n in range(6)]
     worker = threading.Thread(target=work, daemon=True)
     for thread in (*threads, worker):
         thread.start()
     for _ in range(2):
-        old, _ = held.upgrade()
+        old, _ = world.upgrade()
         old.send_signal(signal.SIGTERM)
         old.wait()
     stop.set()
@@ -119,6 +119,6 @@
     assert not errors and {first for first, _, _ in statuses} == {"HTTP/1.1 200 OK"}, (errors, statuses[-5:])
     assert all(body == req_id for _, body, req_id in statuses) and len(statuses) > 20
     # A second attempt may only follow one that was withdrawn, which a stub that reads slowly may cause.
-    withdrawn = [line for line in held.log().splitlines() if "attempt_ended" in line and "CANCELLED" in line]
+    withdrawn = [line for line in world.log().splitlines() if "attempt_ended" in line and "CANCELLED" in line]
     repeated = {req_id for req_id in sent if sent.count(req_id) > 1}
     assert all(any(f"id={req_id} " in line for line in withdrawn) for req_id in repeated), repeated
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -110,7 +110,7 @@
     transferred = 0
     for number, splits in enumerate(product(partitions(["m0", "m1", "m2"]), repeat=4)):
         world = run_budgets(3, splits, (number % 3,), number)
-        transferred += any(transfer.taken for transfer in world.gifts.values())
+        transferred += any(transfer.taken for transfer in world.transfers.values())
         world.start("m1")
         world.period(("m2",))
     assert transferred > 100  # otherwise nothing was tested
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,7 +12,7 @@
 import pytest
 from helpers import settings
 from hypothesis import HealthCheck, given
-from hypothesis import settings as limits
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from model_tracker import RealScheduler
 
@@ -88,7 +88,7 @@
 )
 
 
-@limits(max_examples=25, deadline=None, suppress_health_check=[HealthCheck.too_slow])
+@hypothesis_settings(max_examples=25, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(worlds, st.integers(0, 99))
 def test_simulation_conserves_jobs_and_worker_limits(world, seed):
     start = ModelWorker._start
@@ -118,12 +118,12 @@
 
 def decisions(scheduler_type, seed):
     """Return all events and actions of the modules with their times, and the outcomes of the jobs."""
-    decided = []
+    recorded = []
 
-    class Recorded(Dispatcher):
+    class RecordingDispatcher(Dispatcher):
         def handle(self, now, events):
             actions = super().handle(now, events)
-            decided.append(
+            recorded.append(
                 (
                     now,
                     self.context.settings.position,
@@ -133,10 +133,10 @@
             )
             return actions
 
-    simulation = Simulation(WORLD, seed, Recorded)
+    simulation = Simulation(WORLD, seed, RecordingDispatcher)
     simulation.schedulers = [scheduler_type(simulation, position) for position in range(WORLD.schedulers)]
     simulation._routable = list(simulation.schedulers)
-    return decided, simulation.run().outcomes()
+    return recorded, simulation.run().outcomes()
 
 
 def test_real_tracker_yields_same_decisions():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -57,13 +57,13 @@
     frames = examine(bytes(log))
     assert frames.valid_commits >= 4 and not frames.damaged
     copies = {}
-    for name, place in (("torn", len(log) - 100), ("damaged", len(log) // 2)):
+    for name, offset in (("torn", len(log) - 100), ("damaged", len(log) // 2)):
         copies[name] = tmp_path / name
         copies[name].mkdir()
         shutil.copy(folder / "jobs.db", copies[name])
-        bad = bytearray(log)
-        bad[place] ^= 0xFF
-        (copies[name] / "jobs.db-wal").write_bytes(bad)
+        content = bytearray(log)
+        content[offset] ^= 0xFF
+        (copies[name] / "jobs.db-wal").write_bytes(content)
     store.close()
     torn = opened(copies["torn"])
     assert len(torn.open_jobs(0, 10).jobs) == 3
@@ -82,7 +82,7 @@
     found = store.open_jobs(0, 10)
     assert found.damaged == [1] and [job.accepted.number for job in found.jobs] == [2] and found.last == 2
     store.close()
-    assert run("check", tmp_path, code=1)["faults"] == ["job 1: its body is damaged"]
+    assert run_command("check", tmp_path, code=1)["faults"] == ["job 1: its body is damaged"]
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,9 @@
 
 def test_reboot_shifts_times_and_ends_windows(tmp_path):
     store = opened(tmp_path, at(50_000_000, "first", wall=1_000_000_000))
-    store.apply([accepted(1, give_up=60_000_000), granted(5, 1)], at(50_000_000, "first", wall=1_000_000_000))
+    store.apply(
+        [accepted(1, deadline=60_000_000), granted(5, 1)], at(50_000_000, "first", wall=1_000_000_000)
+    )
     store.close()
     store = opened(tmp_path, at(7_000_000, "second", wall=1_003_000_000))  # 3 s later by the wall clock
     (job,) = store.open_jobs(0, 10).jobs
@@ -114,7 +116,7 @@
 # ---- a failing disk -----------------------------------------------------------------------------
 
 
-class Faulty(sqlite3.Connection):
+class FaultyConnection(sqlite3.Connection):
     """Fails at random statements, by seed: before or after they are executed."""
 
     rng = random.Random()
@@ -136,13 +138,13 @@
     monkeypatch.setattr("carthinge.durable.writer.MIN_RETRY_DELAY", timedelta(milliseconds=1))
 
     def faulty(path):
-        return sqlite3.connect(path, isolation_level=None, check_same_thread=False, factory=Faulty)
+        return sqlite3.connect(path, isolation_level=None, check_same_thread=False, factory=FaultyConnection)
 
-    Faulty.rng, Faulty.rate = random.Random(seed), 0.0
+    FaultyConnection.rng, FaultyConnection.rate = random.Random(seed), 0.0
     store = opened(tmp_path, connect=faulty)
     loop, notified = Loop(), []
     writer = Writer(store, lambda: at(1), lambda sock, ready: loop.register(sock, READ, ready))
-    Faulty.rate = 0.1
+    FaultyConnection.rate = 0.1
     loop.call_after(timedelta(seconds=20), lambda: None)  # limits the wait of each turn
     for number in range(1, 60):
         writer.write(accepted(number), lambda found, number=number: notified.append(number))
@@ -155,10 +157,12 @@
     while len(notified) < 59 + 19:
         assert loop.clock.now() < deadline, f"seed {seed}: {len(notified)} callbacks"
         loop.turn()
-    Faulty.rate = 0.0
+    FaultyConnection.rate = 0.0
     assert writer.stop(timedelta(seconds=5))
-    order = [part for number in range(1, 60) for part in ([number, -number] if number % 3 == 0 else [number])]
-    assert notified == order, f"seed {seed}"
+    expected_order = [
+        part for number in range(1, 60) for part in ([number, -number] if number % 3 == 0 else [number])
+    ]
+    assert notified == expected_order, f"seed {seed}"
     jobs = store.open_jobs(0, 100).jobs
     assert [job.accepted.number for job in jobs] == [n for n in range(1, 60) if n % 3], f"seed {seed}"
     assert all([sent.token for sent in job.attempts] == [1000 + job.accepted.number] for job in jobs)
@@ -187,7 +191,7 @@
 # ---- the lock and the command line --------------------------------------------------------------
 
 
-def run(command, folder, code=0):
+def run_command(command, folder, code=0):
     ran = subprocess.run(
         [sys.executable, "-m", "carthinge", "store", command, str(folder), "--json"],
         capture_output=True,
@@ -203,13 +207,13 @@
     store.apply([accepted(1), granted(5, 1), accepted(2), ended(2)], at(1))
     with pytest.raises(StoreError, match="in use by process"):
         opened(tmp_path)
-    seen = run("show", tmp_path)
+    seen = run_command("show", tmp_path)
     assert seen["open"][0]["out_at"] == "s-0" and {row["state"]: row["jobs"] for row in seen["jobs"]} == {
         "open": 1,
         "served": 1,
     }
-    assert run("check", tmp_path) == {"jobs": 2, "faults": []}
-    assert "in use" in run("compact", tmp_path, code=2)
+    assert run_command("check", tmp_path) == {"jobs": 2, "faults": []}
+    assert "in use" in run_command("compact", tmp_path, code=2)
     store.close()
 
 
@@ -218,7 +222,7 @@
     store.apply([accepted(number, body=b"x" * 10_000) for number in range(1, 300)], at(1))
     store.apply([ended(number) for number in range(1, 299)], at(1))
     store.close()
-    compacted = run("compact", tmp_path)
+    compacted = run_command("compact", tmp_path)
     assert compacted["bytes_after"] < compacted["bytes_before"] / 5
     store = opened(tmp_path)
     assert [job.accepted.number for job in store.open_jobs(0, 10).jobs] == [299]
@@ -226,6 +230,8 @@
 
 
 def test_other_folders_are_reported(tmp_path):
-    assert "no such file" in run("show", tmp_path, code=2)
+    assert "no such file" in run_command("show", tmp_path, code=2)
     (tmp_path / "jobs.db").write_bytes(b"something else" * 1000)
-    assert "jobs.db" in run("check", tmp_path, code=2) or "not a database" in run("check", tmp_path, code=2)
+    assert "jobs.db" in run_command("check", tmp_path, code=2) or "not a database" in run_command(
+        "check", tmp_path, code=2
+    )
--- a/tests/test_store_batches.py
+++ b/tests/test_store_batches.py
@@ -114,7 +114,7 @@
         for number, job in open_jobs.items():
             assert job.accepted.body == self.jobs[number][1] and job.accepted.key == self.jobs[number][2]
             assert {(sent.token, sent.state) for sent in job.attempts} == {
-                (token, state) for token, (of, state) in self.attempts.items() if of == number
+                (token, state) for token, (job_number, state) in self.attempts.items() if job_number == number
             }
         for number, (state, result, _, forget_at) in self.jobs.items():
             found = self.store.find(number)
