--- a/tests/world.py
+++ b/tests/world.py
@@ -140,7 +140,7 @@
     ):
         """Start the stubs and the scheduler.
 
-        ``held``: the listening socket is opened here and inherited, as a platform does for upgrades.
+        ``held``: the scheduler inherits a listening socket, as from a platform that upgrades it.
         ``file``: the text of the operator's file; ``{folder}`` in it stands for the store's folder.
         """
         self.port, self.operator = free_ports(2)
