--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -18,11 +18,11 @@
 from carthinge.front.frontend_protocol import FrontendProtocol
 from carthinge.front.head_of_line import HeadOfLineTimer
 from carthinge.front.read_timer import ReadTimer
-from carthinge.front.translator import JOBS
+from carthinge.front.translator import JOBS_PATH
 from carthinge.net import log
 from carthinge.net.channel import Waiting
 from carthinge.net.close_reason import CloseReason
-from carthinge.net.http import CONTINUE, BadRequestError, Request, RequestReader, answer_bytes
+from carthinge.net.http import CONTINUE, BadRequestError, Request, RequestReader, encode_answer
 from carthinge.net.loop import MICROSECOND, MILLISECOND
 from carthinge.net.stream import Stream
 from carthinge.net.tracked_request import TrackedRequest
@@ -36,7 +36,7 @@
 
 
 class ClientConnection(ConnectionState):
-    """A connection of a client or of a worker that calls back.  Answers go out in the order of requests."""
+    """A connection of a client, or of a worker that sends callbacks.  Answers keep the order of requests."""
 
     def __init__(
         self, frontend: FrontendProtocol, sock: socket.socket, connected: timedelta, unread_since: timedelta
@@ -47,7 +47,7 @@
         self._requests = 0  # complete requests read
         self._connected_at = connected
         self._unread_since = unread_since
-        self._entered_turn = frontend.loop.turns
+        self._accepted_turn = frontend.loop.turns
         self._reader = RequestReader()
         self._waiting: deque[Request] = deque()
         self._current: Request | None = None
@@ -57,7 +57,7 @@
         self._finished = False
         self._read_timer = ReadTimer(frontend.loop, self._read_timed_out)
         self._head_of_line = HeadOfLineTimer(frontend.loop, self._cut_short)
-        self._accepted = frontend.loop.now
+        self._accepted_at = frontend.loop.now
         self._stream = Stream(frontend.loop, sock, self)
 
     def waiting_job(self) -> Waiting | None:
@@ -151,7 +151,7 @@
     def _earliest_arrival(self) -> timedelta:
         """Return the earliest time at which the data being read can have arrived."""
         loop = self._frontend.loop
-        return self._unread_since if loop.turns <= self._entered_turn + 1 else loop.ready_since
+        return self._unread_since if loop.turns <= self._accepted_turn + 1 else loop.ready_since
 
     def flushed(self) -> None:
         """Required by the stream; nothing to do."""
@@ -189,7 +189,7 @@
     def _check_invariant(self, last_progress: timedelta) -> None:
         now = self._frontend.loop.clock.now()
         self._frontend.tracker.invariants.check_partial_request(
-            self.number, last_progress, self._accepted, now
+            self.number, last_progress, self._accepted_at, now
         )
 
     def _reject_all(self, error: BadRequestError) -> None:
@@ -198,7 +198,7 @@
         The error must not wait behind a tracked request that is still in progress.
         """
         self._abandon()
-        answer = answer_bytes(error.status, f"{error}\n".encode())
+        answer = encode_answer(error.status, f"{error}\n".encode())
         self._stream.write(answer * (len(self._waiting) + (self._current is not None)))
         self._waiting.clear()
         self._current = None
@@ -243,7 +243,7 @@
             )
             if self._current is request:  # otherwise it is answered already
                 self._job_call = job_call
-        elif request.method == b"POST" and (path == JOBS or path.startswith(JOBS + b"/")):
+        elif request.method == b"POST" and (path == JOBS_PATH or path.startswith(JOBS_PATH + b"/")):
             self._accept_job(request)
         elif request.method == b"GET" and path == b"/up":
             self._answer(HTTPStatus.OK if self._frontend.up() else HTTPStatus.SERVICE_UNAVAILABLE)
@@ -260,7 +260,7 @@
         self, request: Request, status: int, body: bytes = b"", headers: list[tuple[str, str]] | None = None
     ) -> None:
         """Answer a request asynchronously."""
-        if self._current is request and not self._stream.closed:  # otherwise the client has gone meanwhile
+        if self._current is request and not self._stream.closed:  # otherwise the client has left
             self._job_call = None
             if status == NO_ANSWER:
                 self.close(CloseReason.CALLBACK_FOR_SUCCESSOR)
@@ -345,7 +345,7 @@
             and (more_to_answer or (keep_alive and self._frontend.keeps_connections()))
             and (request is None or request.keep_alive)
         )
-        self._stream.write(answer_bytes(status, body, headers or (), keep_alive))
+        self._stream.write(encode_answer(status, body, headers or (), keep_alive))
         if not keep_alive:
             self._finished = True
             self._read_timer.stop()
--- a/carthinge/front/connection_state.py
+++ b/carthinge/front/connection_state.py
@@ -5,7 +5,7 @@
 from collections import deque
 from datetime import timedelta
 
-from carthinge.net.http import Request, RequestReader, call_bytes
+from carthinge.net.http import Request, RequestReader, encode_request
 from carthinge.net.stream import Stream
 
 
@@ -59,7 +59,9 @@
         """Return the deferred requests, encoded again."""
         requests = [self._current, *self._waiting] if self._current is not None else []
         return b"".join(
-            call_bytes(request.method.decode(), request.target, "", _unframed(request.headers), request.body)
+            encode_request(
+                request.method.decode(), request.target, "", _unframed(request.headers), request.body
+            )
             for request in requests
         )
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -16,7 +16,7 @@
 from carthinge.durable.jobs import DurableJobs
 from carthinge.durable.limits import ShedReason
 from carthinge.durable.records import FoundJob, JobState
-from carthinge.front.translator import JOBS, Translator, header_text
+from carthinge.front.translator import JOBS_PATH, Translator, header_text
 from carthinge.net.http import BadRequestError, Request
 from carthinge.net.loop import Loop, Timer
 
@@ -81,7 +81,7 @@
             return True
         return (
             request.method == b"POST"
-            and (path == JOBS or path.startswith(JOBS + b"/"))
+            and (path == JOBS_PATH or path.startswith(JOBS_PATH + b"/"))
             and header_text(request.headers, b"req-kind") in self.jobs.classes
         )
 
@@ -246,13 +246,13 @@
         return found
 
     def _missing(self, status: int) -> None:
-        known = {
+        texts = {
             HTTPStatus.NOT_FOUND: b"no such job\n",
             HTTPStatus.GONE: b"the job is forgotten\n",
             HTTPStatus.INTERNAL_SERVER_ERROR: b"the record of the job is damaged\n",
         }
-        headers = [] if status in known else self._retry_after_header(timedelta(seconds=1))
-        self._reply(status, known.get(HTTPStatus(status), b"the store cannot be read\n"), headers)
+        headers = [] if status in texts else self._retry_after_header(timedelta(seconds=1))
+        self._reply(status, texts.get(HTTPStatus(status), b"the store cannot be read\n"), headers)
 
     # ---- the answer -----------------------------------------------------------------------
 
--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -1,4 +1,4 @@
-"""Frontend: the listener for clients' jobs and workers' callbacks, and its connections."""
+"""The front end: the listener for clients' jobs and workers' callbacks, and its connections."""
 
 from __future__ import annotations
 
@@ -124,16 +124,15 @@
         arrived = self.loop.ready_since // MICROSECOND
         for connection in self._connections():
             if connection.idle():
-                opened = self.slots.fresh.get(connection)
-                connected = arrived if opened is None else opened.connected // MICROSECOND
-                yield connection.release(), Incoming(opened is not None, b"", connected, arrived)
+                times = self.slots.fresh.get(connection)
+                connected = arrived if times is None else times.connected // MICROSECOND
+                yield connection.release(), Incoming(times is not None, b"", connected, arrived)
 
     def release_deferred(self) -> Iterator[tuple[socket.socket, Incoming]]:
         """Release the connections whose request is left to the other process, with that request."""
         for connection in self._connections():
-            if (
-                connection.deferred and not connection.has_partial_request()
-            ):  # a partially read request would be lost
+            # A partially read request would be lost.
+            if connection.deferred and not connection.has_partial_request():
                 arrived = connection.deferred_arrival() // MICROSECOND
                 read = connection.deferred_requests()
                 yield connection.release(), Incoming(False, read, arrived, arrived)
@@ -160,8 +159,8 @@
         No answer is lost, since a client has its answer before it sends the next request.
         """
         for connection in self._connections():
-            opened = self.slots.fresh.get(connection)
-            if opened is not None and self.loop.now < opened.entered + self._first_bytes_timeout:
+            times = self.slots.fresh.get(connection)
+            if times is not None and self.loop.now < times.accepted + self._first_bytes_timeout:
                 continue
             if connection.idle() and connection.silent():
                 connection.close(CloseReason.IDLE_IN_DRAIN)
@@ -187,11 +186,11 @@
         """Close a connection if all slots are taken; returns the reason if none can be closed."""
         if len(self.slots) < self.slots.max_connections:
             return None
-        holder = self.slots.choose_eviction(self.loop.now, self._first_bytes_timeout)
-        if holder is None:
+        connection = self.slots.choose_eviction(self.loop.now, self._first_bytes_timeout)
+        if connection is None:
             return "every connection has a request in progress or unread"
         self.counters.connections_in_closed_early += 1
-        holder.close(CloseReason.SLOT_NEEDED)
+        connection.close(CloseReason.SLOT_NEEDED)
         return None
 
     def enter(self, sock: socket.socket, since: timedelta) -> None:
@@ -220,9 +219,9 @@
 
     def _check_fresh(self) -> None:
         """Close connections on which no request has begun in time."""
-        for holder in self.slots.overdue(self.loop.now):
+        for connection in self.slots.overdue(self.loop.now):
             self.counters.connections_in_silent += 1
-            holder.close(CloseReason.NO_REQUEST)
+            connection.close(CloseReason.NO_REQUEST)
         self._checking_fresh = bool(self.slots.fresh)
         if self._checking_fresh:
             self.loop.call_after(FRESH_CHECK_INTERVAL, self._check_fresh)
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -14,7 +14,7 @@
 
 from carthinge.net import log
 from carthinge.net.counters import Counters
-from carthinge.net.http import Address, BadRequestError, Request, RequestReader, answer_bytes
+from carthinge.net.http import Address, BadRequestError, Request, RequestReader, encode_answer
 from carthinge.net.listener import Listener, bind
 from carthinge.net.loop import Loop, Timer
 from carthinge.net.stream import Stream
@@ -140,7 +140,7 @@
 
     def _answer(self, status: int, body: bytes = b"", json: bool = False) -> None:
         headers = [("Content-Type", "application/json")] if json else []
-        self._stream.write(answer_bytes(status, body, headers, keep_alive=False))
+        self._stream.write(encode_answer(status, body, headers, keep_alive=False))
         self._stream.finish()
 
 
--- a/carthinge/front/translator.py
+++ b/carthinge/front/translator.py
@@ -14,7 +14,7 @@
 from carthinge.rules import Effect
 from carthinge.settings import Site
 
-JOBS: Final = b"/api"  # a further path segment, if present, is the key
+JOBS_PATH: Final = b"/api"  # a further path segment, if present, is the key
 REQUEST_ID: Final = re.compile(r"[0-9A-Za-z_.-]{1,128}")
 DURATION: Final = re.compile(r"(\d{1,15}(?:\.\d{1,9})?)([mu])")
 UNITS: Final = {"m": MILLISECOND, "u": MICROSECOND}
@@ -99,7 +99,7 @@
 
 def deadline_of(request: Request) -> timedelta | None:
     """Return when the client of a job stops waiting; None if it is no job or has no valid deadline."""
-    if request.method != b"POST" or not request.target.startswith(JOBS):
+    if request.method != b"POST" or not request.target.startswith(JOBS_PATH):
         return None
     try:
         return request.received_at + parse_duration(header_text(request.headers, b"req-deadline"))
@@ -111,15 +111,15 @@
     """Parse ``name=number,...``."""
     try:
         pairs = [part.split("=", 1) for part in text.split(",") if part]
-        figures = {name.strip(): float(value) for name, value in pairs}
+        values = {name.strip(): float(value) for name, value in pairs}
     except ValueError:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Extra: not of the form name=number,...") from None
-    if not all(0 <= figure < 1e9 for figure in figures.values()):
+    if not all(0 <= number < 1e9 for number in values.values()):
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "Req-Extra: a figure is out of range")
-    return figures
+    return values
 
 
 def subject_key(target: bytes) -> int:
     """Hash the last segment of the path; every scheduler computes the same key."""
-    last = target.split(b"?", 1)[0].removeprefix(JOBS).rsplit(b"/", 1)[-1]
+    last = target.split(b"?", 1)[0].removeprefix(JOBS_PATH).rsplit(b"/", 1)[-1]
     return int.from_bytes(blake2b(last, digest_size=8).digest(), "little") if last else 0
--- a/carthinge/net/clock.py
+++ b/carthinge/net/clock.py
@@ -7,7 +7,7 @@
 from typing import Final, NamedTuple
 
 MIN_STEP: Final = timedelta(milliseconds=50)  # less is drift, which is adjusted without a step
-MAX_PERIODS: Final = 64  # old ones can go: a worker's start is converted soon after it
+MAX_PERIODS: Final = 64  # old ones can be dropped: a worker's start is converted soon after it
 
 
 class WallPeriod(NamedTuple):
@@ -48,7 +48,7 @@
         self._last_check = now
 
     def from_unix_ms(self, unix_ms: int) -> timedelta:
-        """Convert a wall-clock reading to monotonic time; zero if it is earlier than that, or 0 (long ago).
+        """Convert a wall-clock reading to monotonic time; zero if it is earlier than that or 0 (long ago).
 
         Of several possible times the latest is returned, but never one in the future: callers need the
         shortest time that can have passed since a worker's start.
--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -60,7 +60,7 @@
     options: Options  #: from the operator's file
 
 
-def reload(environment: Mapping[str, str], before: Config) -> Config:
+def reload(environment: Mapping[str, str], current: Config) -> Config:
     """Read the file again; ConfigError if a key of the current settings is missing.
 
     The operator's file is read only at the start.  Discovery is taken from the file: the environment of a
@@ -73,7 +73,7 @@
             if name not in ("RELAY_DISCOVERY", "CARTHINGE_FILE")
         }
     )
-    missing = sorted(before.setting_keys - config.setting_keys)
+    missing = sorted(current.setting_keys - config.setting_keys)
     if missing:
         raise ConfigError(f"settings: {missing[0]}: missing, though the settings in force have it")
     return config
--- a/carthinge/net/connection_slots.py
+++ b/carthinge/net/connection_slots.py
@@ -39,7 +39,7 @@
     """The times at which a connection began."""
 
     connected: timedelta  #: earliest time at which its client can have connected
-    entered: timedelta  #: when it was accepted by this process
+    accepted: timedelta  #: when it was accepted by this process
 
 
 class ConnectionSlots:
@@ -49,8 +49,8 @@
     keep-alive connections of well-behaved clients stay.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_connections = most
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
         self.fresh: OrderedDict[InboundConnection, ConnectionTimes] = OrderedDict()  # no request yet
         self.kept: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently used first
         self.ending: OrderedDict[InboundConnection, None] = OrderedDict()  # their last response is written
@@ -62,40 +62,40 @@
         """Return all connections."""
         return [*self.fresh, *self.kept, *self.ending]
 
-    def add(self, holder: InboundConnection, opened: ConnectionTimes) -> None:
+    def add(self, connection: InboundConnection, times: ConnectionTimes) -> None:
         """Add a new connection."""
-        self.fresh[holder] = opened
+        self.fresh[connection] = times
 
-    def mark_used(self, holder: InboundConnection) -> None:
+    def mark_used(self, connection: InboundConnection) -> None:
         """Note that a complete request has been received on a connection."""
-        self.fresh.pop(holder, None)
-        if holder not in self.ending:
-            self.kept[holder] = None
-            self.kept.move_to_end(holder)
+        self.fresh.pop(connection, None)
+        if connection not in self.ending:
+            self.kept[connection] = None
+            self.kept.move_to_end(connection)
 
-    def evict_first(self, holder: InboundConnection) -> None:
+    def evict_first(self, connection: InboundConnection) -> None:
         """Note that a request was invalid: the connection becomes the first kept one to be evicted."""
-        if holder in self.kept:
-            self.kept.move_to_end(holder, last=False)
+        if connection in self.kept:
+            self.kept.move_to_end(connection, last=False)
 
-    def mark_ending(self, holder: InboundConnection) -> None:
+    def mark_ending(self, connection: InboundConnection) -> None:
         """Note that the last response on a connection is written."""
-        if self.fresh.pop(holder, self) is not self or self.kept.pop(holder, self) is not self:
-            self.ending[holder] = None
+        if self.fresh.pop(connection, self) is not self or self.kept.pop(connection, self) is not self:
+            self.ending[connection] = None
 
-    def remove(self, holder: InboundConnection) -> None:
+    def remove(self, connection: InboundConnection) -> None:
         """Remove a closed connection."""
         for queue in (self.fresh, self.kept, self.ending):
-            queue.pop(holder, None)
+            queue.pop(connection, None)
 
     def overdue(self, now: timedelta) -> list[InboundConnection]:
         """Return the connections that have received nothing in time, not even unread input."""
         return [
-            holder
-            for holder, opened in self.fresh.items()
-            if now >= silence_deadline(opened.connected, opened.entered)
-            and not holder.has_partial_request()
-            and holder.silent()
+            connection
+            for connection, times in self.fresh.items()
+            if now >= silence_deadline(times.connected, times.accepted)
+            and not connection.has_partial_request()
+            and connection.silent()
         ]
 
     def choose_eviction(self, now: timedelta, first_request_grace: timedelta) -> InboundConnection | None:
@@ -105,14 +105,15 @@
         ``first_request_grace`` ago: its first request may be on its way.
         """
         # Only silent connections are closed: a request that has arrived unread would be lost.
-        if done := _first_silent(self.ending):
-            return done
+        if ended := _first_silent(self.ending):
+            return ended
         past_grace = [
-            holder for holder, opened in self.fresh.items() if now >= opened.entered + first_request_grace
+            connection
+            for connection, times in self.fresh.items()
+            if now >= times.accepted + first_request_grace
         ]
-        past_grace.sort(
-            key=lambda holder: holder.has_partial_request()
-        )  # partly read requests would be lost: last
+        # Connections with a partly read request, which would be lost, are closed last.
+        past_grace.sort(key=lambda connection: connection.has_partial_request())
         if len(self.fresh) > self.max_connections * MAX_FRESH_FRACTION:  # spares the kept ones
             return _first_silent(past_grace)
         return _first_silent(self.kept, idle=True) or _first_silent(past_grace)
@@ -120,4 +121,6 @@
 
 def _first_silent(queue: Iterable[InboundConnection], idle: bool = False) -> InboundConnection | None:
     """Return the first silent connection that is also idle if ``idle`` is set."""
-    return next((holder for holder in queue if (not idle or holder.idle()) and holder.silent()), None)
+    return next(
+        (connection for connection in queue if (not idle or connection.idle()) and connection.silent()), None
+    )
--- a/carthinge/net/deadlines.py
+++ b/carthinge/net/deadlines.py
@@ -13,10 +13,9 @@
 
 #: Subtracted from the client's timeout: the answer has to arrive before the client leaves.
 ANSWER_MARGIN: Final = timedelta(milliseconds=10)
-ANSWER_SHARE: Final = 0.05  # of the timeout at most: the margin could use up a short one
+MAX_ANSWER_MARGIN_SHARE: Final = 0.05  # of the timeout at most: the margin could use up a short one
 MIN_DEADLINE: Final = MILLISECOND  # a worker is never sent a deadline of zero
 
-
 ARRIVAL_GRACE: Final = timedelta(milliseconds=600)  # after SIGTERM; clients are routed here for up to 0.4 s
 KILL_DELAY: Final = timedelta(milliseconds=700)  # from SIGTERM plus the grace to the earliest SIGKILL
 MAX_KILL_GRACE: Final = timedelta(seconds=3)  # the grace is the longest deadline, limited to this
@@ -30,9 +29,8 @@
 
     arriving_until: timedelta  #: clients may still be routed here; their requests keep their full timeout
     answered_by: timedelta  #: the last answer to requests that arrive after that
-    keep_alive_until: (
-        timedelta  #: afterwards every answer closes its connection, so that clients move elsewhere
-    )
+    #: Afterwards every answer closes its connection, so that clients move elsewhere.
+    keep_alive_until: timedelta
 
 
 def drain_schedule(
@@ -66,7 +64,7 @@
 
 def answer_deadline(now: timedelta, timeout: timedelta) -> timedelta:
     """Return the latest time to send the final answer so that it arrives before the client leaves."""
-    return now + timeout - min(ANSWER_MARGIN, ANSWER_SHARE * timeout)
+    return now + timeout - min(ANSWER_MARGIN, MAX_ANSWER_MARGIN_SHARE * timeout)
 
 
 def deadline_header(due: timedelta, now: timedelta) -> tuple[str, bytes]:
--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -14,7 +14,7 @@
 from carthinge.interface import Listing, WorkerList
 from carthinge.net import log
 from carthinge.net.counters import Counters
-from carthinge.net.http import Address, Answer, call_bytes
+from carthinge.net.http import Address, Answer, encode_request
 from carthinge.net.loop import MILLISECOND, Loop, Timer
 from carthinge.net.members import Listed
 from carthinge.net.outgoing_connection import OutgoingConnection
@@ -60,8 +60,8 @@
         share one discovery, and a change counts as known once discovery has written it.
         """
         if site.list_is_pushed:
-            share = min(max(site.drain_grace * AGENT_WAIT_FRACTION, MIN_AGENT_WAIT), POLL_WAIT)
-            return cls(share, share, share, 2 * share, share / 2)
+            agent_wait = min(max(site.drain_grace * AGENT_WAIT_FRACTION, MIN_AGENT_WAIT), POLL_WAIT)
+            return cls(agent_wait, agent_wait, agent_wait, 2 * agent_wait, agent_wait / 2)
         wait = min(max(POLL_WAIT, POLL_WAIT_PER_SCHEDULER * site.decisions.instances), MAX_POLL_WAIT)
         return cls(wait, RESPONSE_MARGIN, RETRY_WAIT, RETRY_RESPONSE_MARGIN, None)
 
@@ -85,20 +85,20 @@
         self,
         loop: Loop,
         address: Address,
-        table: WorkerDirectory,
+        directory: WorkerDirectory,
         site: Site,
         counters: Counters,
-        tell: Callable[[WorkerList], None],
+        on_update: Callable[[WorkerList], None],
     ) -> None:
         self.state = WatchState.STOPPED
         self._loop = loop
         self._address = address
-        self._table = table
+        self._directory = directory
         self._connect_timeout = site.connect_timeout
         self._timing = WatchTiming.of(site)
         self._failures = 0  # in a row
         self._counters = counters
-        self._on_update = tell
+        self._on_update = on_update
         self._connection: OutgoingConnection | None = None
         self._timer: Timer | None = None  # response timeout while CALLING, next call while PAUSING
         self._first_list_received: Callable[[], None] | None = None
@@ -135,7 +135,7 @@
         if address == self._address:
             return
         self._address = address
-        self._table.revision = None
+        self._directory.revision = None
         self._failures = 0
         self.stop()
         self._call()
@@ -166,7 +166,7 @@
         retrying = self._failures > 0
         wait = self._timing.retry_wait if retrying else self._timing.wait
         margin = self._timing.retry_margin if retrying else self._timing.margin
-        revision = None if whole else self._table.revision
+        revision = None if whole else self._directory.revision
         query = "" if revision is None else f"?index={revision}&wait={max(1, wait // MILLISECOND)}"
         self.state = WatchState.CALLING
         self._timer = self._loop.call_after(wait + margin, self._response_overdue)
@@ -185,7 +185,7 @@
                 log.logger().warning("list_out_of_order", revision=listed.revision, known=revision)
                 self._call(whole=True)
                 return
-            update = self._table.apply_list(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
+            update = self._directory.apply_list(listed, Listing.WHOLE if listed.complete else Listing.CHANGES)
         except (msgspec.MsgspecError, ValueError, OverflowError) as fault:
             self._failed(f"unreadable: {fault}")
             return
@@ -221,17 +221,17 @@
         self.state = WatchState.PAUSING
         interval = self._timing.retry_interval
         # An agent does not respond while discovery is down: only the first failure is a warning.
-        write = log.logger().warning if interval is None or self._failures == 1 else log.logger().debug
-        write("discovery_failed", why=why, revision=self._table.revision)
+        log_failure = log.logger().warning if interval is None or self._failures == 1 else log.logger().debug
+        log_failure("discovery_failed", why=why, revision=self._directory.revision)
         if interval is None:
             self._on_update(WorkerList(Listing.FAILED))
         else:
             self._timer = self._loop.call_after(interval if pause is None else pause, self.start)
 
     def _notify_first_list(self) -> None:
-        first, self._first_list_received = self._first_list_received, None
-        if first is not None:
-            first()
+        callback, self._first_list_received = self._first_list_received, None
+        if callback is not None:
+            callback()
 
 
 class _WatchCall:
@@ -240,7 +240,7 @@
     def __init__(self, watch: DiscoveryWatch, target: bytes, host: str, revision: int | None) -> None:
         self._watch = watch
         self._revision = revision
-        self._data = call_bytes("GET", target, host)
+        self._data = encode_request("GET", target, host)
 
     def request(self) -> bytes:
         return self._data
--- a/carthinge/net/http.py
+++ b/carthinge/net/http.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from carthinge.net.stream import CHUNK
+from carthinge.net.stream import RECEIVE_BYTES
 
 MAX_BODY_BYTES: Final = 64 * 1024
 MAX_HEAD_BYTES: Final = 32 * 1024
@@ -35,9 +35,8 @@
     headers: Headers
     body: bytes
     keep_alive: bool
-    received_at: timedelta = (
-        timedelta()
-    )  #: earliest time at which its last byte can have arrived; set by the reader
+    #: Earliest time at which its last byte can have arrived; set by the connection that read it.
+    received_at: timedelta = timedelta()
 
 
 @dataclass(slots=True)
@@ -108,7 +107,7 @@
             raise BadRequestError(HTTPStatus.BAD_REQUEST, f"not HTTP: {fault}") from None
         done, self._done = self._done, []
         self._bytes_fed = 0 if done else self._bytes_fed + len(data)
-        if self._bytes_fed > (MAX_HEAD_BYTES + CHUNK if self._in_head else MAX_MESSAGE_BYTES):
+        if self._bytes_fed > (MAX_HEAD_BYTES + RECEIVE_BYTES if self._in_head else MAX_MESSAGE_BYTES):
             # Guards against an endless line, which the parser buffers and reports only when it is complete.
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "the request is too large")
         return done
@@ -183,7 +182,7 @@
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def answer_bytes(
+def encode_answer(
     status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = (), keep_alive: bool = True
 ) -> bytes:
     """Encode a response."""
@@ -196,7 +195,7 @@
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-def call_bytes(
+def encode_request(
     method: str, target: bytes, host: str, headers: Iterable[tuple[str, bytes]] = (), body: bytes = b""
 ) -> bytes:
     """Encode a request."""
--- a/carthinge/net/invariants.py
+++ b/carthinge/net/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of sending, repeating, closing and starting, checked where they could be violated.
+"""Invariants of sending, retrying, closing and starting, checked where they could be violated.
 
 The checks are a second line of defence behind the decisions that should ensure them.  A violation is counted
 and logged, and the violating action is not carried out where it can still be prevented.
--- a/carthinge/net/probes.py
+++ b/carthinge/net/probes.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from carthinge.interface import ProbeResult, Result
-from carthinge.net.http import Answer, call_bytes
+from carthinge.net.http import Answer, encode_request
 from carthinge.net.load import read_load
 from carthinge.net.loop import MICROSECOND, Loop
 from carthinge.net.outgoing_connection import OutgoingConnection
@@ -54,7 +54,7 @@
         self._sent = probes.loop.now
 
     def request(self) -> bytes:
-        return call_bytes("GET", LOAD_PATH, str(self._target.address))
+        return encode_request("GET", LOAD_PATH, str(self._target.address))
 
     def written(self) -> None:
         """Nothing to do: only the answer counts."""
--- a/carthinge/net/read_timeouts.py
+++ b/carthinge/net/read_timeouts.py
@@ -1,7 +1,8 @@
 """Deadlines by which a partly received request has to be complete, computed without I/O or a clock.
 
-A client that stops in the middle of a request must get an error or a close within :data:`OWED_WITHIN`; one
-that keeps writing slowly must get its response.  They differ only after some time without another byte.
+A client that stops in the middle of a request must get an error or a close within
+:data:`STOPPED_CLIENT_LIMIT`; one that keeps writing slowly must get its response.  Only the time without
+another byte tells them apart.
 """
 
 from __future__ import annotations
@@ -10,9 +11,11 @@
 from datetime import timedelta
 from typing import Final
 
-STOPPED_CLIENT_LIMIT: Final = timedelta(seconds=3)  # required by the standing test: an error or a close
-MARGIN: Final = timedelta(milliseconds=500)  # for delays of the scheduler and for the response's way
-READ_TIMEOUT: Final = STOPPED_CLIENT_LIMIT - MARGIN  # from the start of a request to its last byte
+STOPPED_CLIENT_LIMIT: Final = timedelta(seconds=3)  # operators' acceptance rule: an error or a close
+READ_TIMEOUT_MARGIN: Final = timedelta(milliseconds=500)  # for delays of the scheduler and the response
+READ_TIMEOUT: Final = (
+    STOPPED_CLIENT_LIMIT - READ_TIMEOUT_MARGIN
+)  # from the start of a request to its last byte
 MAX_PART_INTERVAL: Final = timedelta(seconds=1)  # between parts of a request that takes longer
 MAX_REQUEST_DURATION: Final = timedelta(seconds=10)  # even if its parts keep arriving
 MIN_READ_TIME: Final = timedelta(milliseconds=250)  # minimum time after a late first read or accept
@@ -32,10 +35,10 @@
         return max(min(complete_by, self.first_read + MAX_REQUEST_DURATION), self.first_read + MIN_READ_TIME)
 
 
-def silence_deadline(connected: timedelta, entered: timedelta) -> timedelta:
+def silence_deadline(connected: timedelta, accepted: timedelta) -> timedelta:
     """Return when a connection that has received nothing counts as silent.
 
     It may have waited in the backlog since ``connected``, the earliest time at which it can have been made,
-    until it ``entered``; its first bytes still get a minimum time to arrive.
+    until it was ``accepted``; its first bytes still get a minimum time to arrive.
     """
-    return max(connected + READ_TIMEOUT, entered + MIN_READ_TIME)
+    return max(connected + READ_TIMEOUT, accepted + MIN_READ_TIME)
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -47,8 +47,8 @@
         self._dispatcher = dispatcher
         self._targets = targets
         self._counters = counters
-        self._count = 0
-        self._wake: Timer | None = None
+        self._last_number = 0
+        self._wake_timer: Timer | None = None
         self._action_handlers: dict[type, Callable[..., None]] = {
             io.Send: self._send,
             io.Refuse: self._shed,
@@ -79,17 +79,19 @@
         """Track a job that was accepted before a crash, with its earlier attempts."""
         tracked = self._track(job, terms, client, journal)
         self._counters.requests_recovered += 1
-        self.events.append(io.Restore(self._arrival(tracked, terms), [sent.memory for sent in attempts]))
-        for number, sent in enumerate(attempts):
+        self.events.append(
+            io.Restore(self._arrival(tracked, terms), [restored.memory for restored in attempts])
+        )
+        for number, restored in enumerate(attempts):
             attempt = Attempt(
                 tracked,
                 number,
-                sent.target,
-                sent.sent,
-                sent.due,
-                open=sent.memory.open,
+                restored.target,
+                restored.sent,
+                restored.due,
+                open=restored.memory.open,
                 written=True,
-                token=sent.token,
+                token=restored.token,
             )
             tracked.attempts.append(attempt)
             if attempt.open:
@@ -98,10 +100,10 @@
         return tracked
 
     def _track(self, job: Job, terms: Terms, client: Client, journal: Journal | None) -> TrackedRequest:
-        self._count += 1
+        self._last_number += 1
         give_up = answer_deadline(self._loop.now, terms.timeout)
         tracked = TrackedRequest(
-            self._count,
+            self._last_number,
             job,
             terms.class_name,
             terms.tenant_name,
@@ -137,12 +139,12 @@
             if attempt.timer is not None:
                 attempt.timer.cancel()
         self.events.append(io.GiveAway(tracked.number))
-        self._forget_if_over(tracked)
+        self._remove_if_ended(tracked)
 
     def take_over(self, tracked: TrackedRequest, tenant: int, memory: io.JobMemory) -> None:
         """Track a request handed over by another process, under a number of this tracker."""
-        self._count += 1
-        tracked.number = self._count
+        self._last_number += 1
+        tracked.number = self._last_number
         self.tracked_requests[tracked.number] = self.by_id[tracked.job.id] = tracked
         self._counters.requests_taken_over += 1
         self.events.append(io.TakeOver(tracked.number, tenant, memory))
@@ -163,7 +165,7 @@
         self.events.append(io.Abandoned(tracked.number))
         for attempt in list(tracked.open_attempts()):
             self.transport.client_left(attempt)
-        self._forget_if_over(tracked)
+        self._remove_if_ended(tracked)
 
     def cut_short(self, tracked: TrackedRequest) -> None:
         """Answer a request now, since the answer to a request pipelined behind it is due."""
@@ -178,11 +180,11 @@
         self._report_abandoned(tracked)
 
     def serve_late(self, tracked: TrackedRequest, result: bytes) -> None:
-        """Serve the result of an attempt that had already ended, when no other attempt is open."""
+        """Serve the result of an attempt that has already ended; called when no other attempt is open."""
         if tracked.pending:
             self._serve(tracked, result)
             self.events.append(io.Abandoned(tracked.number))
-            self._forget_if_over(tracked)
+            self._remove_if_ended(tracked)
 
     def expire(self, attempt: Attempt) -> None:
         """Withdraw an attempt whose lease has expired; it ends as a timeout once the withdrawal is done."""
@@ -200,7 +202,7 @@
         return sum(tracked.pending for tracked in self.tracked_requests.values())
 
     def report_progress(self, attempt: Attempt, done: float | None, begun: bool = True) -> None:
-        """Report progress of an open attempt, at the least that its worker has received it."""
+        """Report progress of an open attempt, at least that its worker has received it."""
         if attempt.open:
             self.events.append(
                 io.ProgressReport(attempt.tracked.number, attempt.number, attempt.target.number, done, begun)
@@ -245,7 +247,7 @@
                 load_report,
             )
         )
-        self._forget_if_over(tracked)
+        self._remove_if_ended(tracked)
 
     def _serve(self, tracked: TrackedRequest, result: bytes) -> None:
         tracked.mark_answered("served")
@@ -360,14 +362,14 @@
         if tracked is not None and tracked.pending:
             self._count_refused(tracked, action.why.value)
             tracked.client.shed(action.retry_after * MICROSECOND)
-            self._forget_if_over(tracked)
+            self._remove_if_ended(tracked)
 
     def _fail(self, action: io.Fail) -> None:
         tracked = self.tracked_requests.get(action.request)
         if tracked is not None and tracked.pending:
             self._count_failed(tracked, action.why.value)
             tracked.client.fail(timed_out=self._loop.now >= tracked.give_up)
-            self._forget_if_over(tracked)
+            self._remove_if_ended(tracked)
 
     def _count_refused(self, tracked: TrackedRequest, why: str) -> None:
         tracked.mark_answered("refused", why)
@@ -381,14 +383,16 @@
 
     def _set_timer(self, action: io.SetTimer) -> None:
         """Replace the timer: the dispatcher sets it anew after each wake-up."""
-        if self._wake is not None:
-            self._wake.cancel()
-        self._wake = self._loop.call_at(action.due * MICROSECOND, partial(self.emit, io.Timer(action.token)))
+        if self._wake_timer is not None:
+            self._wake_timer.cancel()
+        self._wake_timer = self._loop.call_at(
+            action.due * MICROSECOND, partial(self.emit, io.Timer(action.token))
+        )
 
     def _log(self, action: io.LogLine) -> None:
         log.logger().info("decision", text=action.text)
 
-    def _forget_if_over(self, tracked: TrackedRequest) -> None:
+    def _remove_if_ended(self, tracked: TrackedRequest) -> None:
         if not tracked.pending and tracked.first_open_attempt() is None:
             self.tracked_requests.pop(tracked.number, None)
             if self.by_id.get(tracked.job.id) is tracked:
--- a/carthinge/net/tracked_request.py
+++ b/carthinge/net/tracked_request.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredAttempt:
-    """An attempt of a restored request, with what the dispatcher is told of it."""
+    """An attempt of a restored request, with the dispatcher's state of it."""
 
     target: WorkerEndpoint
     sent: timedelta
@@ -74,8 +74,8 @@
 class Journal(Protocol):
     """Records the attempts of a tracked request whose job is durable."""
 
-    def grant(self, attempt: Attempt, go: Callable[[], None]) -> None:
-        """Record an attempt before it is sent; ``go`` is called once it may be sent, if ever."""
+    def grant(self, attempt: Attempt, send: Callable[[], None]) -> None:
+        """Record an attempt before it is sent; ``send`` is called once it may be sent, if ever."""
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
         """Renew the lease of an attempt; ``begun``: its worker has started it."""
@@ -90,8 +90,8 @@
     def send(self, attempt: Attempt) -> None:
         """Start an attempt; its end is reported to the tracker."""
 
-    def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
-        """Withdraw an attempt; ``gone`` is called once the worker knows or is certain to learn of it."""
+    def withdraw(self, attempt: Attempt, on_withdrawn: Callable[[], None]) -> None:
+        """Withdraw an attempt; calls ``on_withdrawn`` once the worker knows or is certain to learn of it."""
 
     def client_left(self, attempt: Attempt) -> None:
         """Drop an attempt whose client has left, if nothing of it has been sent."""
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -14,7 +14,7 @@
 from carthinge.net.close_reason import CloseReason
 from carthinge.net.counters import Counters
 from carthinge.net.deadlines import deadline_header
-from carthinge.net.http import Address, Answer, call_bytes
+from carthinge.net.http import Address, Answer, encode_request
 from carthinge.net.load import read_load
 from carthinge.net.loop import MILLISECOND, Loop
 from carthinge.net.outgoing_connection import OutgoingConnection
@@ -96,7 +96,7 @@
                 ("Lease-Token", b"%d" % attempt.token),
                 ("Lease-Duration", b"%dm" % (self.lease_duration // MILLISECOND)),
             ]
-        return call_bytes("POST", job.subject, str(attempt.target.address), headers, job.body)
+        return encode_request("POST", job.subject, str(attempt.target.address), headers, job.body)
 
     def cancel_unsent(self) -> None:
         """Cancel the attempts at leaving workers whose connection is not up yet.
@@ -120,27 +120,29 @@
         self._close(call.connection, CloseReason.ATTEMPT_WITHDRAWN)
         self.ended(attempt, Result.NOT_SENT, None, why)
 
-    def withdraw(self, attempt: Attempt, gone: Callable[[], None]) -> None:
-        """Withdraw an attempt; ``gone`` is called once its worker knows or is certain to learn of it."""
+    def withdraw(self, attempt: Attempt, on_withdrawn: Callable[[], None]) -> None:
+        """Withdraw an attempt; calls ``on_withdrawn`` once its worker knows or is certain to learn of it."""
         call = self._calls.pop(attempt, None)
         if call is not None:  # closing is enough before the 202, but the 202 may be on its way
             self._close(call.connection, CloseReason.ATTEMPT_WITHDRAWN)
             if not attempt.written:
                 self.log_withdrawn(attempt, "never sent")
-                gone()
+                on_withdrawn()
                 return
         self._counters.withdrawn += 1
-        self._delete(attempt, gone, DELETE_RETRY_DELAY)
+        self._delete(attempt, on_withdrawn, DELETE_RETRY_DELAY)
 
-    def _delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta) -> None:
+    def _delete(self, attempt: Attempt, on_withdrawn: Callable[[], None], delay: timedelta) -> None:
         connection = self._acquire(attempt.target.address)
         connect = self._site.connect_timeout
         transit_time = max(MIN_DELETE_TRANSIT, DELETE_TRANSIT_SHARE * connect)
-        withdrawal = _Withdrawal(self._loop, self, connection, attempt, gone, delay, transit_time)
+        withdrawal = _Withdrawal(self._loop, self, connection, attempt, on_withdrawn, delay, transit_time)
         self._loop.call_after(LATE_ANSWER_FACTOR * connect, withdrawal.time_out)
         connection.start(withdrawal)
 
-    def retry_delete(self, attempt: Attempt, gone: Callable[[], None], delay: timedelta, why: str) -> None:
+    def retry_delete(
+        self, attempt: Attempt, on_withdrawn: Callable[[], None], delay: timedelta, why: str
+    ) -> None:
         """Retry a DELETE that was reset or could not be sent, after ``delay``: a worker that is unreachable,
         or draining and accepts no connections, still runs the attempt, and the next attempt would be a
         second copy.  The death of a worker is reported by its agent.
@@ -148,13 +150,13 @@
         log.logger().debug("not_withdrawn", id=attempt.tracked.job.id, worker=attempt.target.id, why=why)
         give_up = attempt.tracked.give_up
         if not attempt.open:
-            gone()
+            on_withdrawn()
         elif self._loop.clock.now() + delay < give_up:
             self._counters.withdrawn_again += 1
             next_delay = min(2 * delay, MAX_DELETE_RETRY_DELAY)
-            self._loop.call_after(delay, lambda: self._delete(attempt, gone, next_delay))
+            self._loop.call_after(delay, lambda: self._delete(attempt, on_withdrawn, next_delay))
         else:  # not earlier: another attempt could follow in the time left
-            self._loop.call_at(give_up, gone)
+            self._loop.call_at(give_up, on_withdrawn)
 
     def log_withdrawn(self, attempt: Attempt, how: str) -> None:
         """Log that a worker knows of a withdrawal, or will before it receives anything sent later."""
@@ -268,7 +270,7 @@
         self._idle[connection] = since
         if not self._expiry_scheduled:
             self._expiry_scheduled = True
-            self._loop.call_after(self._max_idle(), self._close_expired)
+            self._loop.call_after(self._idle_timeout(), self._close_expired)
 
     def _close(self, connection: OutgoingConnection, reason: CloseReason) -> None:
         log.logger().debug("worker_connection_closed", address=str(connection.address), why=reason.value)
@@ -276,7 +278,7 @@
         self._idle.pop(connection, None)
         self._open.discard(connection)
 
-    def _max_idle(self) -> timedelta:
+    def _idle_timeout(self) -> timedelta:
         return max(self._site.idle_close - IDLE_MARGIN, self._site.idle_close / 2)
 
     def _close_expired(self) -> None:
@@ -284,8 +286,8 @@
         now = self._loop.clock.now()
         while self._idle:
             connection, since = next(iter(self._idle.items()))
-            if not connection.closed and now < since + self._max_idle():
-                self._loop.call_at(since + self._max_idle(), self._close_expired)
+            if not connection.closed and now < since + self._idle_timeout():
+                self._loop.call_at(since + self._idle_timeout(), self._close_expired)
                 return
             self._close(connection, CloseReason.IDLE_TOO_LONG)
         self._expiry_scheduled = False
@@ -350,7 +352,7 @@
         worker_client: WorkerClient,
         connection: OutgoingConnection,
         attempt: Attempt,
-        gone: Callable[[], None],
+        on_withdrawn: Callable[[], None],
         delay: timedelta,
         transit_time: timedelta,
     ) -> None:
@@ -358,14 +360,14 @@
         self._worker_client = worker_client
         self._connection = connection
         self._attempt = attempt
-        self._gone = gone
+        self._on_withdrawn = on_withdrawn
         self._delay = delay
         self._transit_time = transit_time
         self._done = False
 
     def request(self) -> bytes:
         path = f"/jobs/{self._attempt.tracked.job.id}".encode()
-        return call_bytes("DELETE", path, str(self._attempt.target.address))
+        return encode_request("DELETE", path, str(self._attempt.target.address))
 
     def written(self) -> None:
         """Give the DELETE, on its own connection, time to arrive: no attempt elsewhere may overtake it."""
@@ -378,7 +380,7 @@
     def broken(self, written: bool, why: str) -> None:
         if not self._done and (self._connection.reset or not written):
             self._done = True
-            self._worker_client.retry_delete(self._attempt, self._gone, self._delay, why)
+            self._worker_client.retry_delete(self._attempt, self._on_withdrawn, self._delay, why)
         else:
             self._confirm(why)
         self._worker_client.free(self._connection)
@@ -393,4 +395,4 @@
         if not self._done:
             self._done = True
             self._worker_client.log_withdrawn(self._attempt, how)
-            self._gone()
+            self._on_withdrawn()
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from carthinge.interface import Listing, State, WorkerEntry, WorkerList
-from carthinge.net.channel import State as HandedOver
+from carthinge.net.channel import State as HandoverState
 from carthinge.net.channel import Target
 from carthinge.net.clock import Clock
 from carthinge.net.http import Address
@@ -16,7 +16,7 @@
 from carthinge.net.members import Listed, Member
 from carthinge.settings import Site
 
-STATES: Final = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATE_BY_PHASE: Final = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
 
 @dataclass(slots=True, eq=False)
@@ -102,7 +102,7 @@
             for target in self.targets.values()
         ]
 
-    def restore(self, state: HandedOver) -> WorkerList:
+    def restore(self, state: HandoverState) -> WorkerList:
         """Restore the predecessor's contents, converted with the zones and kinds of this process."""
         self.revision = state.revision
         for handed in state.targets:
@@ -143,7 +143,7 @@
             self._zones.get(member.locality, 0),
             self._kinds.get(member.flavor, 0),
             member.cell,
-            STATES[member.phase],
+            STATE_BY_PHASE[member.phase],
             member.size,
             self._start_time(member) // MICROSECOND,
         )
--- a/tests/model_tracker.py
+++ b/tests/model_tracker.py
@@ -94,7 +94,7 @@
             def fail(self, timed_out):
                 client.failed()
 
-        job = real.Job(f"{self.position}-{self.tracker._count}", b"", b"")
+        job = real.Job(f"{self.position}-{self.tracker._last_number}", b"", b"")
         self.works[job.id] = work
         tracked = self.tracker.take(job, terms, Waiting())
         self.tracker.decide_all()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -13,7 +13,7 @@
 
 
 def test_client_left_before_read_not_sent(serve, dial, worker):
-    """The close waits behind the request in the same socket; it was seen only in the turn after the send."""
+    """Guards against a close noticed only after the send: it waits behind the request in the same socket."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1"))
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_client_left_during_connect_not_sent(serve, dial, worker, cancel):
-    """Where settings allow no withdrawals, the attempt was sent as soon as its connection was up."""
+    """Guards against an attempt sent once its connection is up, where settings allow no withdrawals."""
     program = serve(settings=settings_with_caps(cancel=cancel))
     set_workers(program, member("s-0", worker.port))
     sockets = inject_faults(program)
@@ -144,7 +144,7 @@
 
 
 def test_deadline_header_computed_when_written(serve, dial, worker):
-    """The time left was computed when the connect began, 0.2 s before the connection came up."""
+    """Guards against a time left as of the start of the connect, here 0.2 s before the connection is up."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
     sockets = inject_faults(program)
@@ -178,7 +178,7 @@
 
 
 def test_retry_after_its_window_not_sent(serve, dial, worker):
-    """The connection came up after the window in which workers drop jobs that they have already run."""
+    """The connection is up only after the window in which workers drop jobs that they have already run."""
     services = [
         {**spec, "window": 1_000_000} if spec["effect"] == "idempotency_key" else spec
         for spec in settings_with_caps()["services"]
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -26,8 +26,8 @@
         raise AssertionError("the slots must not close connections themselves")
 
 
-def filled(most, fresh=0, kept=0, busy=0):
-    slots = ConnectionSlots(most)
+def fill_slots(max_connections, fresh=0, kept=0, busy=0):
+    slots = ConnectionSlots(max_connections)
     groups = [
         [Connection(idle) for _ in range(count)]
         for count, idle in ((kept, True), (busy, False), (fresh, True))
@@ -40,7 +40,7 @@
 
 
 def test_connection_with_last_response_is_evicted_first():
-    slots, kept, _, _ = filled(4, fresh=3, kept=1)
+    slots, kept, _, _ = fill_slots(4, fresh=3, kept=1)
     slots.mark_ending(kept[0])
     assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[0] and len(slots) == 4
     slots.remove(kept[0])
@@ -48,9 +48,9 @@
 
 
 def test_many_fresh_evict_each_other_else_least_recently_used():
-    slots, _, _, fresh = filled(4, fresh=3, kept=1)
+    slots, _, _, fresh = fill_slots(4, fresh=3, kept=1)
     assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[0]
-    slots, kept, _, _ = filled(4, fresh=2, kept=2)
+    slots, kept, _, _ = fill_slots(4, fresh=2, kept=2)
     slots.mark_used(kept[0])
     assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is kept[1]
     slots.evict_first(kept[0])
@@ -58,13 +58,13 @@
 
 
 def test_busy_connection_is_never_evicted():
-    slots, _, _, fresh = filled(4, fresh=1, busy=3)
+    slots, _, _, fresh = fill_slots(4, fresh=1, busy=3)
     assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[0]
-    assert filled(4, busy=4)[0].choose_eviction(LATER, FIRST_REQUEST_GRACE) is None
+    assert fill_slots(4, busy=4)[0].choose_eviction(LATER, FIRST_REQUEST_GRACE) is None
 
 
 def test_only_fresh_connections_are_overdue():
-    slots, _, _, fresh = filled(9, fresh=3, kept=2)  # the fresh ones began at 2, 3 and 4 s
+    slots, _, _, fresh = fill_slots(9, fresh=3, kept=2)  # the fresh ones began at 2, 3 and 4 s
     assert slots.overdue(timedelta(seconds=2) + READ_TIMEOUT) == fresh[:1]
     assert slots.overdue(timedelta(seconds=3) + READ_TIMEOUT) == fresh[:2]
 
@@ -88,7 +88,7 @@
 
 def test_connection_with_unread_input_is_not_evicted():
     """Its request would be lost; if no other connection is left, no room is made."""
-    slots, kept, _, fresh = filled(5, fresh=3, kept=2)
+    slots, kept, _, fresh = fill_slots(5, fresh=3, kept=2)
     fresh[0].unread = True
     assert slots.choose_eviction(LATER, FIRST_REQUEST_GRACE) is fresh[1]
     slots.mark_ending(fresh[2])
@@ -103,10 +103,10 @@
 
 def test_new_connection_is_spared_for_first_request():
     """Guards against new connections closed without a response; kept ones are not evicted for them either."""
-    slots, _, _, fresh = filled(4, fresh=3, kept=1)  # they began at 1, 2 and 3 s
+    slots, _, _, fresh = fill_slots(4, fresh=3, kept=1)  # they began at 1, 2 and 3 s
     assert slots.choose_eviction(timedelta(seconds=1.2), FIRST_REQUEST_GRACE) is None
     assert slots.choose_eviction(timedelta(seconds=1.25), FIRST_REQUEST_GRACE) is fresh[0]
-    slots, kept, _, fresh = filled(4, fresh=2, kept=2)
+    slots, kept, _, fresh = fill_slots(4, fresh=2, kept=2)
     assert slots.choose_eviction(timedelta(seconds=2), FIRST_REQUEST_GRACE) is kept[0]
-    slots, _, _, fresh = filled(4, fresh=2, busy=2)
+    slots, _, _, fresh = fill_slots(4, fresh=2, busy=2)
     assert slots.choose_eviction(timedelta(seconds=2), FIRST_REQUEST_GRACE) is None
--- a/tests/test_connections_end.py
+++ b/tests/test_connections_end.py
@@ -36,7 +36,7 @@
 
 
 def test_sigterm_between_accept_and_first_byte(serve, dial):
-    """The accepted connection was closed unread, and its request was rejected on a new connection."""
+    """Guards against closing an accepted connection unread, whose request a new connection then rejects."""
     program = serve(settings=FIVE_SCHEDULERS)
     drain_program(program)
     client = dial(program)
@@ -84,8 +84,8 @@
     client = dial(program).send(job("a1"))
     take = program.tracker.take
 
-    def take_then_signal(*given):
-        tracked = take(*given)
+    def take_then_signal(*arguments):
+        tracked = take(*arguments)
         program._handle_signals(bytes((signal.SIGTERM,)))
         return tracked
 
@@ -122,7 +122,7 @@
     connection._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     answer = connection._answer
-    connection._answer = lambda status, *more, **named: answer(status, b"x" * 300_000)
+    connection._answer = lambda status, *args, **kwargs: answer(status, b"x" * 300_000)
     sockets.after("send", lambda sock, data: program._handle_signals(bytes((signal.SIGTERM,))))
     client.send(UP_REQUEST)
     run_until(program, lambda: program.frontend.draining is not None)
@@ -140,7 +140,7 @@
 
 
 def test_pipelined_requests_answered_before_drain_close(serve, dial, worker):
-    """The first answer closed the connection, and the pipelined requests read behind it got no answer."""
+    """Guards against a first answer that closes the connection, so that requests behind it get no answer."""
     program = serve(settings=FIVE_SCHEDULERS)
     set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1") + job("a2") + UP_REQUEST)
@@ -192,15 +192,14 @@
 
 
 def test_backlog_connection_served_before_exit(serve, dial, monkeypatch):
-    """The kernel had the whole request in the backlog; closing the listener reset its connection."""
+    """Closing the listener would reset a connection whose whole request is in the backlog."""
     program = serve(settings=FIVE_SCHEDULERS)
     drain_program(program)
     while program._quiet_since is None:
         program.loop.turn(idle=False)
         advance_clock(program, timedelta(milliseconds=10))
-    program.frontend._listener._loop.unregister(
-        program.frontend._listener._sock
-    )  # a late report of the selector
+    # The selector reports the listener late.
+    program.frontend._listener._loop.unregister(program.frontend._listener._sock)
     program.frontend._listener._registered = False
     client = dial(program).send(UP_REQUEST)
     advance_clock(program, timedelta(seconds=1))
@@ -251,7 +250,7 @@
     "unsolicited", [b"HTTP/1.1 503 Servi", b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n"]
 )
 def test_worker_connection_with_unsolicited_data_not_reused(serve, dial, worker, unsolicited):
-    """Half a line from a worker was parsed as part of the next call's answer."""
+    """Guards against half a line from a worker parsed as part of the next call's answer."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
     first = dial(program).send(job("a1"))
@@ -274,7 +273,7 @@
 
 
 def test_202_ended_by_close_is_accepted(serve, dial, worker):
-    """An answer without a length ends with its connection; it was counted as a reset."""
+    """An answer without a length ends with its connection, which is no reset."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind="charge"))
@@ -299,7 +298,7 @@
 
 
 def test_late_sigterm_counts_from_earliest_arrival(serve):
-    """SIGKILL is timed from the signal, not from the turn that read it: late requests went unanswered."""
+    """SIGKILL is timed from the signal: timed from the turn that reads it, late requests get no answer."""
     program = serve(settings=FIVE_SCHEDULERS)
     program.loop.ready_since = signalled = program.loop.now - timedelta(milliseconds=400)
     program._handle_signals(bytes((signal.SIGTERM,)))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 TIGHT = 64  # descriptors: after the reserve, ten slots for connections remain
 
 
-def filled(program, dial, partial=b""):
+def fill_slots(program, dial, partial=b""):
     """Connect five times as many clients as there are slots, silent or with a partial request."""
     clients = [dial(program).send(partial) for _ in range(5 * program.frontend.slots.max_connections)]
     run_until(program, lambda: len(program.frontend.slots) == program.frontend.slots.max_connections)
@@ -25,7 +25,7 @@
 def test_job_completes_despite_idle_clients(serve, dial, worker, partial):
     program = serve(sockets=TIGHT)
     set_workers(program, member("s-0", worker.port))
-    filled(program, dial, partial)
+    fill_slots(program, dial, partial)
     advance_clock(program, program.config.site.connect_timeout)
     client = dial(program).send(job("a1"))
     peer = accept_next(worker, program)
@@ -39,7 +39,7 @@
 
 def test_discovery_is_reached_despite_idle_clients(serve, dial):
     program = serve(sockets=TIGHT)
-    filled(program, dial)
+    fill_slots(program, dial)
     run_until(program, lambda: program.counters.watch_failures)  # it is down
     discovery = Listener()
     program.watch.set_address(Address("127.0.0.1", discovery.port))
@@ -52,7 +52,7 @@
 
 def test_silent_clients_are_all_closed(serve, dial):
     program = serve(sockets=TIGHT)
-    clients = filled(program, dial)
+    clients = fill_slots(program, dial)
     advance_clock(program, READ_TIMEOUT * 2)
     run_until(program, lambda: program.counters.connections_in == len(clients))
     advance_clock(program, READ_TIMEOUT * 2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -202,13 +202,13 @@
 
 
 def test_reload_to_pushed_mode_starts_watch(tmp_path):
-    asked = {
+    polled = {
         **SETTINGS,
         "instances": 300,
         "position": 299,  # its first watch would start much later
         "rules": {**SETTINGS["rules"], "ask_within": 3_600_000_000},
     }
-    with World(tmp_path, settings=asked) as world:
+    with World(tmp_path, settings=polled) as world:
         world.reload(pushed(2_000_000))
         assert world.accept_watch()[1].startswith("GET /discovery/hosts?index=7&wait=500")
 
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -146,9 +146,8 @@
 def test_move_after_failure_keeps_new_call(serve, discovery):
     """Guards against the failure of the old call, reported a turn later, ending the new one."""
     program = serve()
-    inject_faults(program).fail(
-        "connect", errno.ECONNREFUSED
-    )  # fails in the call itself, not by a selector event
+    # The connect fails in the call itself, not by a selector event.
+    inject_faults(program).fail("connect", errno.ECONNREFUSED)
     program.watch.set_address(Address("127.0.0.1", 1))
     program.watch.set_address(Address("127.0.0.1", discovery.port))
     call = program.watch._connection.call
--- a/tests/test_half_sent_requests.py
+++ b/tests/test_half_sent_requests.py
@@ -1,4 +1,4 @@
-"""Report 70c9d1: clients that stopped in the middle of a request got no error or close in time."""
+"""Clients that stop in the middle of a request get an error or a close in time (report 70c9d1)."""
 
 import select
 import signal
@@ -8,16 +8,15 @@
 from world import SETTINGS, World, job
 
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-STOPPED_CLIENT_LIMIT = (
-    3.0  # seconds, from the standing test: from the connect or from the request's first byte
-)
+# Seconds from the connect or from the request's first byte, by the operators' acceptance rules.
+STOPPED_CLIENT_LIMIT = 3.0
 MAX_WAIT = 12.0  # seconds: clients without an end by then count as never ended
 WHOLE = job("half", body=b"x" * 200)
 HEAD, BODY = WHOLE[:60], WHOLE[:-100]
-CALL_BACK = b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n{"
-EXPECTING = job("asks", Expect="100-continue", body=b"abc")[:-3]
+PARTIAL_CALLBACK = b"POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n{"
+EXPECT_CONTINUE = job("asks", Expect="100-continue", body=b"abc")[:-3]
 TIGHT = 64  # descriptors: ten slots for incoming connections
-MANY = {**SETTINGS, "instances": 5}
+FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
 
 
 class StoppedClient:
@@ -70,9 +69,9 @@
 
 
 def test_stopped_client_gets_end_within_3_s(world):
-    parts = [b"", WHOLE[:1], HEAD, BODY, UP_REQUEST + HEAD, EXPECTING, CALL_BACK]
+    parts = [b"", WHOLE[:1], HEAD, BODY, UP_REQUEST + HEAD, EXPECT_CONTINUE, PARTIAL_CALLBACK]
     clients = [StoppedClient(world, part) for part in parts]
-    parts = [WHOLE[:1], HEAD, BODY, UP_REQUEST + BODY, CALL_BACK]
+    parts = [WHOLE[:1], HEAD, BODY, UP_REQUEST + BODY, PARTIAL_CALLBACK]
     clients += [StoppedClient(world, part, peer) for part, peer in zip(parts, kept(world, 5), strict=True)]
     assert ended_late(clients) == {}
 
@@ -108,7 +107,7 @@
 
 @pytest.mark.parametrize("after", [0.0, 2.0])
 def test_partial_request_in_drain_ends_within_3_s(tmp_path, after):
-    with World(tmp_path, settings=MANY) as world:
+    with World(tmp_path, settings=FIVE_SCHEDULERS) as world:
         idle = kept(world, 3)
         world.terminate()
         time.sleep(after)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -17,7 +17,7 @@
 from carthinge.net.worker_directory import WorkerEndpoint
 
 NOW = timedelta(days=1)
-STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # required by the standing test, not taken from the program
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the operators' acceptance rules, not from the program
 
 
 def next_attempt(effect, *results, written=True, workers=None):
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,12 +11,12 @@
 
 def test_timer_in_a_century_does_not_overflow():
     loop = Loop()
-    here, there = socket.socketpair()
-    with here, there:
+    local, peer = socket.socketpair()
+    with local, peer:
         seen = []
-        loop.register(here, READ, seen.append)
+        loop.register(local, READ, seen.append)
         loop.call_after(timedelta(days=36500), lambda: seen.append("due"))
-        there.send(b"x")
+        peer.send(b"x")
         loop.turn()
         assert seen == [READ]
     loop.close()
@@ -40,7 +40,7 @@
     loop, owner = Loop(), Owner()
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
-        socket.create_connection(listener.getsockname()) as there,
+        socket.create_connection(listener.getsockname()) as peer,
     ):
         stream = Stream(loop, listener.accept()[0], owner)
         for _ in range(1000):
@@ -50,7 +50,7 @@
         assert not owner.ends
         loop.turn(idle=False)
         assert stream.closed and owner.ends == ["the peer does not read what is sent"]
-        there.close()
+        peer.close()
     loop.close()
 
 
@@ -95,10 +95,10 @@
     loop, owner, answer = Loop(), Owner(), b"x" * 400_000
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-        with socket.socket() as there:
-            there.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-            there.connect(listener.getsockname())
-            there.setblocking(False)
+        with socket.socket() as peer:
+            peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
+            peer.connect(listener.getsockname())
+            peer.setblocking(False)
             sock = listener.accept()[0]
             stream = Stream(loop, sock, owner)
             stream.write(answer)
@@ -106,8 +106,8 @@
             stream.finish()
             read = b""
             while len(read) < len(answer):
-                assert select.select([there], [], [], 10)[0]
-                part = there.recv(65536)
+                assert select.select([peer], [], [], 10)[0]
+                part = peer.recv(65536)
                 assert part, f"{len(read)} bytes, then closed: {owner.ends}"
                 read += part
                 if stream.unsent and select.select([], [sock], [], 0)[1]:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,11 +9,8 @@
 
 CLASSES = ("query", "reindex", "charge")
 
-
-NO_SLOW_START = {
-    **SETTINGS,
-    "rules": {**SETTINGS["rules"], "cold": 1},
-}  # a re-admitted worker gets its full share at once
+# A re-admitted worker gets its full share at once.
+NO_SLOW_START = {**SETTINGS, "rules": {**SETTINGS["rules"], "cold": 1}}
 
 
 @pytest.fixture
--- a/tests/test_read_timeouts.py
+++ b/tests/test_read_timeouts.py
@@ -7,7 +7,7 @@
 
 from carthinge.net.read_timeouts import MAX_REQUEST_DURATION, MIN_READ_TIME, PartialRequest
 
-STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the standing test, not from the program
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the operators' acceptance rules, not from the program
 MAX_DELAY = timedelta(milliseconds=150)  # of the scheduler
 SECOND = timedelta(seconds=1)
 DURATIONS = st.integers(0, 20_000).map(lambda count: timedelta(milliseconds=count))
@@ -23,7 +23,7 @@
 
 
 @given(began=DURATIONS, waited=DURATIONS)
-def test_late_read_request_gets_last_chance_only(began, waited):
+def test_late_read_request_gets_minimum_time(began, waited):
     partial = PartialRequest(began, began + waited, began)
     assert partial.overdue_at() >= partial.first_read + MIN_READ_TIME
     assert partial.overdue_at() + MAX_DELAY < max(
--- a/tests/test_sent_ahead.py
+++ b/tests/test_sent_ahead.py
@@ -7,7 +7,7 @@
 from in_process import accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
-LATE_LIMIT = timedelta(milliseconds=500)  # after this time the standing test counts a late answer as missing
+LATE_LIMIT = timedelta(milliseconds=500)  # by the acceptance rules, a later answer counts as missing
 SHORT_DEADLINE = timedelta(milliseconds=400)
 
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("kind", ["query", "charge"])
 def test_short_deadline_met_behind_long_one(serve, dial, worker, kind):
-    """Its answer waited for the one before it, and was late by as much as that one took."""
+    """Guards against an answer that waits for the one before it and is late by as much as that one takes."""
     program = serve()
     set_workers(program, member("s-0", worker.port))
     client = dial(program).send(job("a1", kind=kind, deadline="5000m") + job("a2", deadline="400m"))
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -47,7 +47,7 @@
 
 
 def test_whitespace_around_header_values_is_stripped(world):
-    """HTTP allows whitespace around header values; such requests were answered 400."""
+    """HTTP allows whitespace around header values: such a request is not a bad one."""
     head, body = job("a1").split(b"\r\n\r\n")
     request_line, *fields = head.split(b"\r\n")
     padded = [field.replace(b": ", b":  \t") + b" \t" for field in fields]
@@ -151,7 +151,7 @@
 
 
 def test_timeouts_of_silent_slow_and_kept_clients(world):
-    """A slowly written first request was cut off in the middle, without an answer."""
+    """Guards against a slowly written first request cut off in the middle, without an answer."""
     since = time.monotonic()
     kept = world.connect()
     assert kept.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
--- a/tests/test_serve_attempts.py
+++ b/tests/test_serve_attempts.py
@@ -245,7 +245,7 @@
 
 
 def test_no_retry_near_deadline_while_unreachable(world):
-    """Too little time for another DELETE was still enough for a second copy (split+mass)."""
+    """Too little time for another DELETE may still be enough for a second copy (scenario split+mass)."""
     with contextlib.ExitStack() as stack:
         client = world.submit("a1", deadline="2000m")
         make_unreachable(world, stack)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -18,11 +18,11 @@
 from carthinge.net.read_timeouts import MAX_PART_INTERVAL, MAX_REQUEST_DURATION, READ_TIMEOUT
 from carthinge.net.stream import LINGER_TIMEOUT
 
-STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the standing test, not from the program
-MANY = {**SETTINGS, "instances": 5}
+STOPPED_CLIENT_LIMIT = timedelta(seconds=3)  # from the operators' acceptance rules, not from the program
+FIVE_SCHEDULERS = {**SETTINGS, "instances": 5}
 
 
-def one_read(program):
+def run_until_read(program):
     """Run turns until a client's data has been read."""
     sockets = program.loop.sockets = FaultySockets()
     run_until(program, lambda: sockets.call_counts["receive"])
@@ -37,7 +37,7 @@
     for at in range(4, len(UP_REQUEST)):  # for longer than a stopped request may take
         advance_clock(program, timedelta(milliseconds=200))
         slow.send(UP_REQUEST[at : at + 1])
-        one_read(program)
+        run_until_read(program)
     assert silent.ended() and program.counters.connections_in_silent == 1
     assert read_next(slow, program)[0].endswith("200 OK") and program.counters.bad_input == 0
 
@@ -46,21 +46,21 @@
     program = serve()
     slow = dial(program).send(UP_REQUEST[:4])
     run_until(program, lambda: program.frontend.slots.fresh)
-    one_read(program)
+    run_until_read(program)
     for at, pause in ((4, READ_TIMEOUT), (8, MAX_PART_INTERVAL), (12, MAX_PART_INTERVAL)):
         advance_clock(program, pause - timedelta(milliseconds=300))
         program.loop.turn(idle=False)
         slow.send(UP_REQUEST[at : at + 4])
-        one_read(program)
+        run_until_read(program)
     slow.send(UP_REQUEST[16:])
     assert read_next(slow, program)[0].endswith("200 OK")
 
 
-@pytest.mark.parametrize("asked", [False, True], ids=["first request", "later request"])
-def test_unfinished_request_gets_408_in_time(serve, dial, asked):
+@pytest.mark.parametrize("later", [False, True], ids=["first request", "later request"])
+def test_unfinished_request_gets_408_in_time(serve, dial, later):
     program = serve()
     client = dial(program)
-    if asked:
+    if later:
         client.send(UP_REQUEST)
         assert read_next(client, program)[0].endswith("200 OK")
     client.send(UP_REQUEST[:4])
@@ -68,9 +68,8 @@
         program,
         lambda: program.frontend.slots.all() and program.frontend.slots.all()[0].has_partial_request(),
     )
-    advance_clock(
-        program, STOPPED_CLIENT_LIMIT - timedelta(milliseconds=150)
-    )  # margin for delays of the scheduler
+    # A margin is left for delays of the scheduler.
+    advance_clock(program, STOPPED_CLIENT_LIMIT - timedelta(milliseconds=150))
     program.loop.turn(idle=False)
     assert read_next(client, program)[0].endswith("408 Request Timeout") and client.ended()
 
@@ -82,7 +81,7 @@
     passed = timedelta()
     while not program.counters.bad_input and passed <= MAX_REQUEST_DURATION:
         client.send(b"x")
-        one_read(program)
+        run_until_read(program)
         advance_clock(program, step := timedelta(milliseconds=200))
         passed += step
     assert program.counters.bad_input and read_next(client, program)[0].endswith("408 Request Timeout")
@@ -116,7 +115,7 @@
 
 
 def test_too_slow_reader_is_closed_in_drain(serve, dial):
-    program = serve(settings=MANY)
+    program = serve(settings=FIVE_SCHEDULERS)
     client = dial(program).send(UP_REQUEST)
     drain_program(program)
     run_until(program, lambda: program.frontend.slots.ending or not len(program.frontend.slots))
@@ -130,7 +129,7 @@
     program = serve()
     client = dial(program).send(UP_REQUEST[:9])
     run_until(program, lambda: program.frontend.slots.fresh)
-    one_read(program)
+    run_until_read(program)
     advance_clock(program, READ_TIMEOUT - timedelta(milliseconds=500))
     client.send(b"\x00\x01 not HTTP\r\n\r\n")
     assert read_next(client, program)[0].endswith("400 Bad Request")
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -89,8 +89,8 @@
         advance_clock(program, timedelta(milliseconds=20))
         program.loop.turn(idle=False)
     read_next(accept_next(worker, program), program)
-    (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
-    assert program.counters.attempts == 1 and only.strikes == 0
+    (worker_state,) = (entry for entry in program.dispatcher.fleet.workers.values() if entry.ready)
+    assert program.counters.attempts == 1 and worker_state.strikes == 0
     client.close()
 
 
@@ -105,8 +105,8 @@
         program.tracker.decide()
         advance_clock(program, timedelta(milliseconds=100))
     assert read_next(client, program)[0].startswith("HTTP/1.1 50")  # exactly one response, in time
-    (only,) = (held for held in program.dispatcher.fleet.workers.values() if held.ready)
-    assert only.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
+    (worker_state,) = (entry for entry in program.dispatcher.fleet.workers.values() if entry.ready)
+    assert worker_state.strikes == 0 and program.counters.attempt_not_sent == program.counters.attempts > 0
 
 
 @pytest.mark.parametrize("error", LOCAL_ERRORS, ids=errno.errorcode.get)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
     """
     program = make_program()
     clock = program.loop.clock
-    order, bind, select, time = [], program_module.bind, program.loop._selector.select, [clock.now()]
+    order, bind, select, current = [], program_module.bind, program.loop._selector.select, [clock.now()]
 
     def noted_bind(*arguments):
         order.append("bind")
@@ -24,11 +24,11 @@
 
     def noted_select(timeout):
         order.append("wait" if timeout > 0 else "poll")
-        time[0] += timedelta(seconds=timeout)  # only waits advance the time, however busy the machine is
+        current[0] += timedelta(seconds=timeout)  # only waits advance the time, however busy the machine is
         return select(0)
 
     monkeypatch.setattr(program_module, "bind", noted_bind)
-    monkeypatch.setattr(clock, "now", lambda: time[0])
+    monkeypatch.setattr(clock, "now", lambda: current[0])
     monkeypatch.setattr(program.loop._selector, "select", noted_select, raising=False)
     program.upgrade.find_predecessor()
     order.append("begun")
--- a/tests/test_turn_order.py
+++ b/tests/test_turn_order.py
@@ -23,7 +23,7 @@
     monkeypatch.setattr(program.loop._selector, "select", sorted_select, raising=False)
 
 
-def kept(program, dial):
+def fill_slots(program, dial):
     """Fill all slots with connections that have had a response."""
     peers = []
     while len(program.frontend.slots) < program.frontend.slots.max_connections:
@@ -38,7 +38,7 @@
     """Guards against an eviction before a received request is read: it was lost, and the reset destroyed
     the previous response."""
     program = serve(sockets=TIGHT)
-    peers = kept(program, dial)
+    peers = fill_slots(program, dial)
     listener_first(program, monkeypatch)
     late = dial(program)  # needs a slot in the same turn
     for peer in peers:
@@ -137,16 +137,17 @@
 
 
 def test_connection_in_each_turn_keeps_own_age(serve, dial):
-    """With all slots taken, one connection is accepted per turn; the backlog is empty after each."""
+    """With all slots taken, one connection is accepted per turn.  The listener has to see that the backlog
+    is empty after each, or it dates all of them to the first."""
     program = serve(sockets=TIGHT)
-    kept(program, dial)
+    fill_slots(program, dial)
     for _ in range(5):
         sock = dial(program)
-        came = program.loop.turns
-        run_until(program, lambda came=came: program.loop.turns == came + 1)
+        turn = program.loop.turns
+        run_until(program, lambda turn=turn: program.loop.turns == turn + 1)
         time.sleep(0.02)
         sock.send(UP_REQUEST)
     listener = program.frontend._listener
     dial(program)
-    run_until(program, lambda: program.loop.turns == came + 2)
+    run_until(program, lambda: program.loop.turns == turn + 2)
     assert listener._since >= program.loop.ready_since - timedelta(milliseconds=30)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -102,17 +102,17 @@
 def test_step_is_not_taken_for_worker_restart(machine, step):
     """Guards against a start converted to another time, which would discard all data about the worker."""
     clock = Clock()
-    table = WorkerDirectory(read_site(Facts.from_nested(SETTINGS)), clock)
+    directory = WorkerDirectory(read_site(Facts.from_nested(SETTINGS)), clock)
     machine.advance(30 * S)
-    named = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
-    (first,) = table.apply_list(named, Listing.WHOLE).entries
+    listed = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
+    (first,) = directory.apply_list(listed, Listing.WHOLE).entries
     machine.advance(4 * S)
     machine.step(step)
     clock.check_for_step(clock.now())
-    (again,) = table.apply_list(named, Listing.WHOLE).entries
+    (again,) = directory.apply_list(listed, Listing.WHOLE).entries
     assert again.started == first.started == (clock.now() - 4 * S) // MICROSECOND
-    anew = Listed(revision=2, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
-    (restarted,) = table.apply_list(anew, Listing.WHOLE).entries
+    relisted = Listed(revision=2, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
+    (restarted,) = directory.apply_list(relisted, Listing.WHOLE).entries
     assert restarted.started == clock.now() // MICROSECOND
 
 
