--- a/carthinge/net/channel.py
+++ b/carthinge/net/channel.py
@@ -105,15 +105,15 @@
     idle_since_us: int
 
 
-class CallBack(msgspec.Struct, frozen=True, tag=True):
+class ForwardedCallback(msgspec.Struct, frozen=True, tag="CallBack"):
     """A worker's callback for a job that is not known to the process that received it."""
 
     number: int
     body: bytes
 
 
-class ByHandCall(msgspec.Struct, frozen=True, tag=True):
-    """An operator's call; ``sure`` if the process that was called knows the worker id."""
+class ForwardedExclusion(msgspec.Struct, frozen=True, tag="ByHandCall"):
+    """An operator's call to exclude a worker or not; ``sure`` if the process that was called knows the id."""
 
     number: int
     worker: str
@@ -128,14 +128,26 @@
     known: bool
 
 
-class Beat(msgspec.Struct, frozen=True, tag=True):
+class Heartbeat(msgspec.Struct, frozen=True, tag="Beat"):
     """The number of slots and the loads that the sender currently holds."""
 
     slots: int
     loads: bytes
 
 
-Message = Hello | State | Begun | Incoming | Waiting | Open | Outgoing | CallBack | ByHandCall | Done | Beat
+Message = (
+    Hello
+    | State
+    | Begun
+    | Incoming
+    | Waiting
+    | Open
+    | Outgoing
+    | ForwardedCallback
+    | ForwardedExclusion
+    | Done
+    | Heartbeat
+)
 _WITH_SOCKET: Final = (Incoming, Waiting, Open, Outgoing)  # messages that are passed with a socket
 _DECODER: Final[msgspec.msgpack.Decoder[Message]] = msgspec.msgpack.Decoder(Message)
 
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -11,7 +11,7 @@
 from carthinge.front.frontend import Frontend
 from carthinge.interface import Leave, Message, Result
 from carthinge.memory import export_memory, job_memory
-from carthinge.net.channel import Beat, Incoming, Open, OpenAttempt, State, Waiting
+from carthinge.net.channel import Heartbeat, Incoming, Open, OpenAttempt, State, Waiting
 from carthinge.net.config import Config
 from carthinge.net.http import Address
 from carthinge.net.loop import MICROSECOND, Loop
@@ -175,11 +175,11 @@
         """Take over an idle connection to a worker."""
         self._worker_client.adopt(sock, address, idle_since)
 
-    def heartbeat(self) -> Beat:
+    def heartbeat(self) -> Heartbeat:
         """Return the current load of this process."""
-        return Beat(len(self._frontend.slots), self._dispatcher.encode_loads())
+        return Heartbeat(len(self._frontend.slots), self._dispatcher.encode_loads())
 
-    def handle_heartbeat(self, heartbeat: Beat | None) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat | None) -> None:
         """Note the load of the other process, None once it has ended."""
         self._tracker.emit(Message(PEER, heartbeat.loads if heartbeat is not None else b""))
         if heartbeat is not None and not self._upgrade.leaving:
--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -14,12 +14,12 @@
 from carthinge.net import log
 from carthinge.net.channel import (
     FORMAT,
-    Beat,
     Begun,
-    ByHandCall,
-    CallBack,
     Channel,
     Done,
+    ForwardedCallback,
+    ForwardedExclusion,
+    Heartbeat,
     Hello,
     Incoming,
     Message,
@@ -82,10 +82,10 @@
     def adopt_outgoing(self, sock: socket.socket, address: Address, idle_since: timedelta) -> None:
         """Take over an idle connection to a worker."""
 
-    def heartbeat(self) -> Beat:
+    def heartbeat(self) -> Heartbeat:
         """Return the current load of this process."""
 
-    def handle_heartbeat(self, heartbeat: Beat | None) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat | None) -> None:
         """Note the load of the peer; None once it has ended."""
 
 
@@ -246,13 +246,13 @@
 
     def forward_callback(self, body: bytes, done: Callable[[bool], None]) -> None:
         """Forward a callback; calls ``done`` with whether its job is known at the peer."""
-        self._request(lambda number: CallBack(number, body), done)
+        self._request(lambda number: ForwardedCallback(number, body), done)
 
     def forward_set_excluded(
         self, worker: str, excluded: bool, confirmed: bool, done: Callable[[bool], None]
     ) -> None:
         """Forward an operator's call; calls ``done`` with whether the worker is known at the peer."""
-        self._request(lambda number: ByHandCall(number, worker, excluded, confirmed), done)
+        self._request(lambda number: ForwardedExclusion(number, worker, excluded, confirmed), done)
 
     def _request(self, message: Callable[[int], Message], done: Callable[[bool], None]) -> None:
         self._last_number += 1
@@ -295,13 +295,13 @@
                 self._handed_over = self._leaving
             case Incoming() | Waiting() | Open() | Outgoing() if attached is not None:
                 self._adopt(message, attached)
-            case CallBack(number=number, body=body):
+            case ForwardedCallback(number=number, body=body):
                 handler.handle_callback(body, partial(self._answer, number))
-            case ByHandCall(number=number, worker=worker, out=excluded, sure=confirmed):
+            case ForwardedExclusion(number=number, worker=worker, out=excluded, sure=confirmed):
                 self._send(Done(number, handler.set_excluded_here(worker, excluded, confirmed)))
             case Done(number=number, known=known):
                 self._resolve(number, known)
-            case Beat():
+            case Heartbeat():
                 handler.handle_heartbeat(message)
 
     def _adopt(self, message: Message, sock: socket.socket) -> None:
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -8,7 +8,7 @@
 from in_process import UP_REQUEST, accept_next, encode_callback, read_next, run_until, set_workers
 from world import job, member
 
-from carthinge.net.channel import Beat, Channel
+from carthinge.net.channel import Channel, Heartbeat
 from carthinge.net.loop import Loop
 
 CALLS = ("connect", "accept", "receive", "peek", "send")
@@ -48,10 +48,10 @@
     loop.sockets.fail(call, errno.EINTR, errno.EINTR)
     sender = Channel(loop, here, lambda *_: None, lost.extend)
     receiver = Channel(loop, there, lambda message, _: got.append(message), lost.extend)
-    sender.send(Beat(1, b""))
+    sender.send(Heartbeat(1, b""))
     for _ in range(10):
         loop.turn(idle=False)
-    assert got == [Beat(1, b"")] and not lost
+    assert got == [Heartbeat(1, b"")] and not lost
     sender.close()
     receiver.close()
     loop.close()
