--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -32,7 +32,6 @@
         "arrivals",
         "budget",
         "call_at",
-        "carried",
         "fleet",
         "freed_workers",
         "jobs",
@@ -46,6 +45,7 @@
         "shared_level",
         "start_wait",
         "timers",
+        "warm_worker_rate",
     )
 
     def __init__(
@@ -71,7 +71,7 @@
         self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
         self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
-        self.carried = Rate()  # work that a mean warm worker serves for this dispatcher
+        self.warm_worker_rate = Rate()  # work that a mean warm worker serves for this dispatcher
         self._mean_capacity_share, self._warm_worker_count, self._capacity_valid_until = 1.0, 0, 0
 
     def configure(self, settings: io.Settings, all_new: bool) -> None:
@@ -81,7 +81,7 @@
         if all_new:
             self.mean_work = float(self.min_objective())
             self.level.tolerable_wait = max(1.0, self.mean_work)
-            self.served, self.arrivals, self.carried = Rate(), Rate(), Rate()
+            self.served, self.arrivals, self.warm_worker_rate = Rate(), Rate(), Rate()
 
     def min_objective(self) -> int:
         """Return the least objective of all classes."""
@@ -193,7 +193,7 @@
             self._update_capacity()
             self.served.add(attempt.job.work, self.now)
             if self.capacity_share(attempt.worker) == 1:  # slow start limits what cold workers serve
-                self.carried.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
+                self.warm_worker_rate.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
         if served and not attempt.begun:
             run_time = attempt.job.work * self.slowdown(attempt.worker)
             self.level.record_wait(self.now - attempt.sent - run_time, self.now)
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -89,7 +89,7 @@
     return {
         "served": dispatcher.context.served,
         "arrivals": dispatcher.context.arrivals,
-        "carried": dispatcher.context.carried,
+        "carried": dispatcher.context.warm_worker_rate,
     }
 
 
--- a/carthinge/policy/slow_start.py
+++ b/carthinge/policy/slow_start.py
@@ -58,7 +58,7 @@
             schedulers = context.schedulers_per_worker()
             # Work sent does not count, so that refusals do not raise it.  A worker has at least one slot.
             slot_rate = max(1.0, worker.kind_stats.slots) / worker.known_slowdown() / schedulers
-            rate = max(slot_rate, context.carried.per_s / 1e6)
+            rate = max(slot_rate, context.warm_worker_rate.per_s / 1e6)
             mean_jobs = context.capacity_share(worker) * rate * settings.fall_window / context.mean_work
             safe_total = (
                 math.sqrt(HALF_MARGIN_DEVIATIONS**2 + settings.fall_multiple * mean_jobs * schedulers)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -57,7 +57,7 @@
 def test_cold_worker_with_allowance_is_a_candidate():
     """A sample holds few of so many workers, and an allowance not used in its window was lost."""
     dispatcher = started(settings(), *range(1, 301))
-    dispatcher.context.carried.per_s = 1e9
+    dispatcher.context.warm_worker_rate.per_s = 1e9
     dispatcher.handle(NOW, [cold_listing(300)])
     for worker in dispatcher.fleet.pool(-1):
         worker.outstanding_work = 0.0 if worker.id == 300 else 400_000.0
@@ -86,7 +86,7 @@
     """Half of the jobs were refused while half of the fleet was cold and idle (genova-sala, upgrades)."""
     dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
     context = dispatcher.context
-    context.carried.per_s = 1e5  # two jobs per second at a warm worker
+    context.warm_worker_rate.per_s = 1e5  # two jobs per second at a warm worker
     dispatcher.handle(NOW, [cold_listing(2)])
     for step in range(8):  # jobs sent to the warm worker are queued there
         context.level.record_wait(1e6, NOW + step)
