--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -40,7 +40,7 @@
         "mean_work",
         "now",
         "rng",
-        "served",
+        "served_rate",
         "settings",
         "shared_level",
         "start_wait",
@@ -67,7 +67,7 @@
         self.timers = Timers()
         self.call_at = self.timers.add
         self.mean_work = float(self.min_objective())
-        self.served, self.arrivals = Rate(), Rate()
+        self.served_rate, self.arrivals = Rate(), Rate()
         self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
         self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
@@ -81,7 +81,7 @@
         if all_new:
             self.mean_work = float(self.min_objective())
             self.level.tolerable_wait = max(1.0, self.mean_work)
-            self.served, self.arrivals, self.warm_worker_rate = Rate(), Rate(), Rate()
+            self.served_rate, self.arrivals, self.warm_worker_rate = Rate(), Rate(), Rate()
 
     def min_objective(self) -> int:
         """Return the least objective of all classes."""
@@ -191,7 +191,7 @@
         self.level.record_end(attempt.begun > 0, served, self.now)
         if served:
             self._update_capacity()
-            self.served.add(attempt.job.work, self.now)
+            self.served_rate.add(attempt.job.work, self.now)
             if self.capacity_share(attempt.worker) == 1:  # slow start limits what cold workers serve
                 self.warm_worker_rate.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
         if served and not attempt.begun:
@@ -206,7 +206,7 @@
         """Return the delay before a refused client may retry; 0 where the settings give none."""
         settings = self.settings
         capacity_wait = retry_after.time_until_capacity(
-            len(self.jobs) * self.mean_work, self.served.current(self.now)
+            len(self.jobs) * self.mean_work, self.served_rate.current(self.now)
         )
         point = mix(settings.position << 40 ^ job.id)
         limit = settings.max_retry_after * settings.may_send_retry_after
--- a/carthinge/scheduler/fleet_adapter.py
+++ b/carthinge/scheduler/fleet_adapter.py
@@ -54,7 +54,7 @@
             if position < len(quotas)
         }
         waiting = sum(job.work for job in dispatcher.jobs.values() if job.waiting)
-        ended_per_s = max(MIN_ENDED_PER_S, context.served.per_s)
+        ended_per_s = max(MIN_ENDED_PER_S, context.served_rate.per_s)
         levels = {
             cell_number(*cell, self.classes): level
             for cell, level in context.own_shedding_levels(now).items()
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -91,7 +91,7 @@
     dispatcher = started(config, *range(1, 101))
     outside = next(worker for worker in dispatcher.fleet.workers.values() if not worker.in_subset)
     outside.started = 1
-    dispatcher.context.served.per_s = 1e9
+    dispatcher.context.served_rate.per_s = 1e9
     dispatcher.context.now = 2
     assert dispatcher.slow_start.allowance(outside) == 0
 
