--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -29,7 +29,7 @@
         "_mean_capacity_share",
         "_warm_worker_count",
         "actions",
-        "arrivals",
+        "arrival_rate",
         "budget",
         "call_at",
         "fleet",
@@ -67,7 +67,7 @@
         self.timers = Timers()
         self.call_at = self.timers.add
         self.mean_work = float(self.min_objective())
-        self.served_rate, self.arrivals = Rate(), Rate()
+        self.served_rate, self.arrival_rate = Rate(), Rate()
         self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
         self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
@@ -81,7 +81,7 @@
         if all_new:
             self.mean_work = float(self.min_objective())
             self.level.tolerable_wait = max(1.0, self.mean_work)
-            self.served_rate, self.arrivals, self.warm_worker_rate = Rate(), Rate(), Rate()
+            self.served_rate, self.arrival_rate, self.warm_worker_rate = Rate(), Rate(), Rate()
 
     def min_objective(self) -> int:
         """Return the least objective of all classes."""
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -88,7 +88,7 @@
 def _rates(dispatcher: DispatcherParts) -> dict[str, Rate]:
     return {
         "served": dispatcher.context.served_rate,
-        "arrivals": dispatcher.context.arrivals,
+        "arrivals": dispatcher.context.arrival_rate,
         "carried": dispatcher.context.warm_worker_rate,
     }
 
--- a/carthinge/policy/discovery_events.py
+++ b/carthinge/policy/discovery_events.py
@@ -59,5 +59,5 @@
         context, body = self.context, self.context.encode_loads()
         context.actions.append(io.SendMessage(body))
         cost = context.settings.price_message * (len(body) + 8) / 256 * (context.settings.instances - 1)
-        interval = cost / (MESSAGE_COST_PER_JOB * max(context.arrivals.per_s, 0.1)) * 1e6
+        interval = cost / (MESSAGE_COST_PER_JOB * max(context.arrival_rate.per_s, 0.1)) * 1e6
         context.call_at(context.now + max(MIN_MESSAGE_INTERVAL_US, int(interval)), self._send_loads)
--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -120,7 +120,7 @@
             job.bearable = min(1.0, OVER_SHARE_WAIT_FACTOR * settings.over_share_worth) * spec.objective
         self.jobs[job.id] = job
         context.mean_work += (work - context.mean_work) * EWMA_WEIGHT / 5
-        context.arrivals.add(1.0, context.now)
+        context.arrival_rate.add(1.0, context.now)
         if event.key and context.key_shares.add(event.key):
             self.fleet.list_changed()
         attach_attempts(self, job, sent)
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -66,7 +66,7 @@
         context.budget.max_retries == fresh.context.budget.max_retries
         and context.budget.retries_left <= context.budget.max_retries
     )
-    assert context.warm_worker_rate.per_s == context.served_rate.per_s == context.arrivals.per_s == 0
+    assert context.warm_worker_rate.per_s == context.served_rate.per_s == context.arrival_rate.per_s == 0
 
 
 def test_averages_follow_class_names():
