--- a/benchmarks/talking_play.py
+++ b/benchmarks/talking_play.py
@@ -51,7 +51,7 @@
         return self.adapter.observe(workers, self.simulation.clock.now)
 
     def retry_budget_left(self) -> float:
-        return float(self.module.context.budget.retries_left)
+        return float(self.module.context.retry_budget.retries_left)
 
     def receive(self, packet: Packet) -> None:
         if self.scheduler.module is self.module:
--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -30,7 +30,6 @@
         "_warm_worker_count",
         "actions",
         "arrival_rate",
-        "budget",
         "call_at",
         "fleet",
         "freed_workers",
@@ -39,6 +38,7 @@
         "level",
         "mean_work",
         "now",
+        "retry_budget",
         "rng",
         "served_rate",
         "settings",
@@ -68,7 +68,7 @@
         self.call_at = self.timers.add
         self.mean_work = float(self.min_objective())
         self.served_rate, self.arrival_rate = Rate(), Rate()
-        self.level, self.budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
+        self.level, self.retry_budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
         self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
         self.warm_worker_rate = Rate()  # work that a mean warm worker serves for this dispatcher
@@ -77,7 +77,7 @@
     def configure(self, settings: io.Settings, all_new: bool) -> None:
         """Apply new settings; where all classes are new, forget what was learned from earlier jobs."""
         self.settings = settings
-        self.budget.resize(settings.instances)
+        self.retry_budget.resize(settings.instances)
         if all_new:
             self.mean_work = float(self.min_objective())
             self.level.tolerable_wait = max(1.0, self.mean_work)
@@ -133,7 +133,7 @@
     def should_shed(self, job: Job, over_share: bool, event: io.Arrival) -> bool:
         """Whether the shedding level refuses a new job; a client's retry is charged to the retry budget."""
         if event.repeat:
-            self.budget.spend()
+            self.retry_budget.spend()
         spec = job.spec
         if spec.late_worth > 0:  # a refusal would lose more than the delay that the job causes
             return False
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -174,7 +174,7 @@
         bucket.refill(context.now)
         bucket.per_s = tenant.quota_per_s / settings.instances * part
     context.set_agreed_levels(event.levels)
-    context.budget.transfer(event.lent_retries)
+    context.retry_budget.transfer(event.lent_retries)
 
 
 def _give_away(dispatcher: DispatcherParts, event: io.GiveAway) -> None:
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -85,7 +85,7 @@
         if result is io.Result.OK:
             self.ejector.mark_responsive(worker)
             worker.refusals = worker.errors = 0
-            self.context.budget.earn()
+            self.context.retry_budget.earn()
             (self.timeouts.record_run if attempt.begun else self.timeouts.record_response)(attempt)
             worker.cap += 1.0 / max(1.0, worker.cap)
             if attempt.begun or attempt.alone:
@@ -140,16 +140,16 @@
             return
         self.ejector.suspect(worker)
         if settings.may_hedge:
-            if self.context.budget.allows() and not job.answered and job.open < 2:
-                self.context.budget.spend()
+            if self.context.retry_budget.allows() and not job.answered and job.open < 2:
+                self.context.retry_budget.spend()
                 self._send_copy(job)
-        elif self.context.retries_need_budget() and not self.context.budget.allows():
+        elif self.context.retries_need_budget() and not self.context.retry_budget.allows():
             self.schedule_check(attempt)
         elif (
             worker.strikes
             and settings.may_cancel
             and any(self.selector.may_retry(other, job) for other in self.selector.eligible(job))
         ):
-            self.context.budget.spend()
+            self.context.retry_budget.spend()
             job.silent = attempt.begun > 0  # the outcome of the cancelled attempt re-queues the job
             self.context.actions.append(io.Cancel(job.id, attempt.number))
--- a/carthinge/scheduler/fleet_adapter.py
+++ b/carthinge/scheduler/fleet_adapter.py
@@ -29,7 +29,7 @@
 
     def __init__(self, dispatcher: Dispatcher, budgets: Mapping[int, int], classes: int) -> None:
         self.dispatcher, self.budgets, self.classes = dispatcher, budgets, max(1, classes)
-        self._retries_spent = dispatcher.context.budget.spent
+        self._retries_spent = dispatcher.context.retry_budget.spent
 
     def observe(self, workers: Collection[int], now: int) -> Observations:
         """The observations at ``now`` (microseconds), with the last signs of life of these workers."""
@@ -59,7 +59,10 @@
             cell_number(*cell, self.classes): level
             for cell, level in context.own_shedding_levels(now).items()
         }
-        spent, self._retries_spent = context.budget.spent - self._retries_spent, context.budget.spent
+        spent, self._retries_spent = (
+            context.retry_budget.spent - self._retries_spent,
+            context.retry_budget.spent,
+        )
         return Observations(
             failures,
             healthy_at,
@@ -68,8 +71,8 @@
             waiting / ended_per_s,
             levels,
             spent,
-            context.budget.retries_left,
-            context.budget.max_retries,
+            context.retry_budget.retries_left,
+            context.retry_budget.max_retries,
         )
 
     def view(self, node: FleetNode, quota_shares: tuple[float, ...]) -> FleetView:
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -157,7 +157,7 @@
 
     def retry_budget_left(self) -> float:
         """The current retry budget."""
-        return self._adapter.dispatcher.context.budget.retries_left
+        return self._adapter.dispatcher.context.retry_budget.retries_left
 
     def _layout(self) -> int:
         return layout_digest(self.site.tenants, self.site.classes)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -193,7 +193,7 @@
 def test_client_retry_spends_budget():
     dispatcher = started(settings(WORTHLESS_LATE), 1, 2)
     dispatcher.handle(1, [arrival(1, repeat=True)])
-    assert dispatcher.context.budget.spent == 1 and not dispatcher.context.budget.allows()
+    assert dispatcher.context.retry_budget.spent == 1 and not dispatcher.context.retry_budget.allows()
 
 
 @pytest.mark.parametrize("sharers", [1, 8, 30, 1000])
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -63,8 +63,8 @@
     )
     assert context.level.tolerable_wait == fresh.context.level.tolerable_wait
     assert (
-        context.budget.max_retries == fresh.context.budget.max_retries
-        and context.budget.retries_left <= context.budget.max_retries
+        context.retry_budget.max_retries == fresh.context.retry_budget.max_retries
+        and context.retry_budget.retries_left <= context.retry_budget.max_retries
     )
     assert context.warm_worker_rate.per_s == context.served_rate.per_s == context.arrival_rate.per_s == 0
 
