--- a/carthinge/dispatch_context.py
+++ b/carthinge/dispatch_context.py
@@ -35,7 +35,6 @@
         "freed_workers",
         "jobs",
         "key_shares",
-        "level",
         "mean_work",
         "now",
         "retry_budget",
@@ -43,6 +42,7 @@
         "served_rate",
         "settings",
         "shared_level",
+        "shedding_level",
         "start_wait",
         "timers",
         "warm_worker_rate",
@@ -68,7 +68,10 @@
         self.call_at = self.timers.add
         self.mean_work = float(self.min_objective())
         self.served_rate, self.arrival_rate = Rate(), Rate()
-        self.level, self.retry_budget = SheddingLevel(self.min_objective()), RetryBudget(settings.instances)
+        self.shedding_level, self.retry_budget = (
+            SheddingLevel(self.min_objective()),
+            RetryBudget(settings.instances),
+        )
         self.shared_level: SharedSheddingLevel | None = None  # only with peers
         self.key_shares, self.start_wait = KeyPopularity(), QueueWait()
         self.warm_worker_rate = Rate()  # work that a mean warm worker serves for this dispatcher
@@ -80,7 +83,7 @@
         self.retry_budget.resize(settings.instances)
         if all_new:
             self.mean_work = float(self.min_objective())
-            self.level.tolerable_wait = max(1.0, self.mean_work)
+            self.shedding_level.tolerable_wait = max(1.0, self.mean_work)
             self.served_rate, self.arrival_rate, self.warm_worker_rate = Rate(), Rate(), Rate()
 
     def min_objective(self) -> int:
@@ -143,14 +146,16 @@
         rank = shedding_rank(over_share, job.came + slack > self.now, worth)
         tolerable_wait = max(slack, spec.objective / 4)
         point = mix(job.key or self.settings.position << 40 ^ job.id)
-        shed = self.level.sheds(rank, job.work, tolerable_wait, point, self._unqueued_run_time(), self.now)
+        shed = self.shedding_level.sheds(
+            rank, job.work, tolerable_wait, point, self._unqueued_run_time(), self.now
+        )
         if self.shared_level is not None:
             shared_shed = self.shared_level.sheds(
                 (event.tenant, event.job_class), rank, job.work, point, self.now
             )
-            self.level.shed += shared_shed and not shed
+            self.shedding_level.shed += shared_shed and not shed
             shed |= shared_shed
-        if line := self.level.log_line(self.now):
+        if line := self.shedding_level.log_line(self.now):
             self.actions.append(io.LogLine(line))
         return shed
 
@@ -169,7 +174,7 @@
     def own_shedding_levels(self, now: int) -> dict[tuple[int, int], int]:
         """Return this dispatcher's own shedding levels for the agreement with peers."""
         return (
-            self.shared_level.own_levels(self.level.kept_share(self._unqueued_run_time(), now), now)
+            self.shared_level.own_levels(self.shedding_level.kept_share(self._unqueued_run_time(), now), now)
             if self.shared_level is not None
             else {}
         )
@@ -179,16 +184,16 @@
 
         Not where queues are reported and short: silence then mostly means that the worker hangs.
         """
-        return self.settings.reports is io.Reports.OFF or self.level.shedding
+        return self.settings.reports is io.Reports.OFF or self.shedding_level.shedding
 
     def attempt_started(self, wait: float) -> None:
         """Record that an attempt has started after ``wait``."""
-        self.level.waiting -= 1
-        self.level.record_wait(wait, self.now)
+        self.shedding_level.waiting -= 1
+        self.shedding_level.record_wait(wait, self.now)
 
     def attempt_ended(self, attempt: Attempt, served: bool) -> None:
         """Record the end of an attempt; where its start was not reported, time beyond its run is a wait."""
-        self.level.record_end(attempt.begun > 0, served, self.now)
+        self.shedding_level.record_end(attempt.begun > 0, served, self.now)
         if served:
             self._update_capacity()
             self.served_rate.add(attempt.job.work, self.now)
@@ -196,7 +201,7 @@
                 self.warm_worker_rate.add(attempt.job.work / max(1, self._warm_worker_count), self.now)
         if served and not attempt.begun:
             run_time = attempt.job.work * self.slowdown(attempt.worker)
-            self.level.record_wait(self.now - attempt.sent - run_time, self.now)
+            self.shedding_level.record_wait(self.now - attempt.sent - run_time, self.now)
 
     def schedulers_per_worker(self) -> float:
         """Return how many schedulers, this one included, have a worker of this one's subset in theirs."""
--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -158,7 +158,7 @@
         if attempt.open:
             job.open += 1
             worker.add_load(job)
-            dispatcher.context.level.waiting += not attempt.begun
+            dispatcher.context.shedding_level.waiting += not attempt.begun
             dispatcher.schedule_check(attempt)
 
 
@@ -182,7 +182,7 @@
     job.answered, job.waiting = True, False
     for attempt in job.attempts:
         if attempt.open:
-            dispatcher.context.level.waiting -= not attempt.begun
+            dispatcher.context.shedding_level.waiting -= not attempt.begun
             attempt.open = attempt.may_have_run = False  # here: its pending timers have nothing left to check
             attempt.release_load()
 
--- a/carthinge/policy/attempts.py
+++ b/carthinge/policy/attempts.py
@@ -36,7 +36,7 @@
             worker.cold_left -= job.work
         context.actions.append(io.Send(job.id, worker.id, start_by=start_by))
         self.schedule_check(attempt)
-        context.level.waiting += 1
+        context.shedding_level.waiting += 1
         if context.settings.tells_start:
             context.call_at(
                 context.now + int(HEDGE_DELAY_FACTOR * self.timeouts.prompt), self._hedge_if_queued, attempt
@@ -108,7 +108,7 @@
         """Hedge an attempt that has not started: it is queued, and a copy may start sooner elsewhere."""
         if not attempt.open or attempt.begun:
             return
-        self.context.level.record_wait(self.context.now - attempt.sent, self.context.now)
+        self.context.shedding_level.record_wait(self.context.now - attempt.sent, self.context.now)
         attempt.set_queued(True)  # stops further sends: jobs queued at a worker cannot be ordered by worth
         if attempt.job.hedged and not attempt.job.answered:
             attempt.alone = False  # its delay is recorded here; record_start must not count it again
--- a/carthinge/policy/worker_selection.py
+++ b/carthinge/policy/worker_selection.py
@@ -60,7 +60,7 @@
     def best(self, job: Job, pool: list[Worker]) -> Worker | None:
         """Return the best of the eligible workers in ``pool``, or None if all are busy."""
         subset = self.context.fleet.subset if job.spec.kind == -1 and job.never_ran() else pool
-        cold = self.best_cold(job) if self.context.level.shedding else None  # all others have a wait
+        cold = self.best_cold(job) if self.context.shedding_level.shedding else None  # all others have a wait
         return (
             cold
             or self._least_loaded(job, subset)
--- a/carthinge/scheduler/fleet_adapter.py
+++ b/carthinge/scheduler/fleet_adapter.py
@@ -36,7 +36,7 @@
         dispatcher = self.dispatcher
         known, context = dispatcher.fleet.workers, dispatcher.context
         # Under overload a silent worker is busy with its queue, which is no reason to suspect it.
-        count_strikes = not context.level.shedding
+        count_strikes = not context.shedding_level.shedding
         failures = {
             worker.id: worker.strikes * count_strikes + max(0, worker.errors - 1)
             for worker in known.values()
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -270,7 +270,7 @@
             "in_flight": self.tracker.in_flight(),
             "workers_known": len(self.directory.listed),
             "workers_excluded": fleet.excluded_count(self.loop.now // MICROSECOND),
-            "overload": self.dispatcher.context.level.figures()
+            "overload": self.dispatcher.context.shedding_level.figures()
             | self.dispatcher.context.retry_budget.figures(),
             "reloads_ok": counters.reloads_ok,
             "reloads_failed": counters.reloads_failed,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -156,7 +156,7 @@
 
 def test_overload_refuses_lowest_worth():
     dispatcher = overloaded()
-    assert dispatcher.context.level.shedding
+    assert dispatcher.context.shedding_level.shedding
     actions = dispatcher.handle(8_100_000, [arrival(200 + n, n % 2, now=8_100_000) for n in range(20)])
     refused = {refusal.request for refusal in only(io.Refuse, actions)}
     assert refused and all(request % 2 for request in refused)
@@ -167,7 +167,7 @@
     assert not only(
         io.Refuse, dispatcher.handle(8_100_000, [arrival(200 + n, now=8_100_000) for n in range(20)])
     )
-    assert dispatcher.context.level.shed == 0
+    assert dispatcher.context.shedding_level.shed == 0
 
 
 # ---- retry budget and backoff -------------------------------------------------------------------
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -259,7 +259,7 @@
     adapter, worker = FleetAdapter(dispatcher, {}, 1), dispatcher.fleet.workers[101]
     worker.strikes = 1
     assert adapter.observe((), 1_000_000).failures == {101: 1}
-    dispatcher.context.level.shedding = True
+    dispatcher.context.shedding_level.shedding = True
     assert adapter.observe((), 1_000_000).failures == {}
     worker.errors = 3
     assert adapter.observe((), 1_000_000).failures == {101: 2}
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -61,7 +61,7 @@
         fresh.timeouts.run_patience,
         fresh.timeouts.prompt,
     )
-    assert context.level.tolerable_wait == fresh.context.level.tolerable_wait
+    assert context.shedding_level.tolerable_wait == fresh.context.shedding_level.tolerable_wait
     assert (
         context.retry_budget.max_retries == fresh.context.retry_budget.max_retries
         and context.retry_budget.retries_left <= context.retry_budget.max_retries
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -89,8 +89,8 @@
     context.warm_worker_rate.per_s = 1e5  # two jobs per second at a warm worker
     dispatcher.handle(NOW, [cold_listing(2)])
     for step in range(8):  # jobs sent to the warm worker are queued there
-        context.level.record_wait(1e6, NOW + step)
-        context.level.waiting = 50
+        context.shedding_level.record_wait(1e6, NOW + step)
+        context.shedding_level.waiting = 50
     dispatcher.slow_start.workers_with_allowance()
     dispatcher.fleet.workers[2].cold_left = 2 * context.mean_work
     ends = []
@@ -109,9 +109,9 @@
 def test_immediate_only_job_refused_when_worker_busy():
     dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
     dispatcher.handle(NOW, [cold_listing(2)])
-    dispatcher.context.level.waiting = 50
+    dispatcher.context.shedding_level.waiting = 50
     for step in range(8):
-        dispatcher.context.level.record_wait(1e6, NOW + step)
+        dispatcher.context.shedding_level.record_wait(1e6, NOW + step)
     dispatcher.slow_start.workers_with_allowance()
     dispatcher.fleet.workers[2].cold_left = 60_000.0  # one job
     burst = [arrival(request, now=NOW + 10) for request in range(40)]
@@ -129,8 +129,10 @@
         dispatcher.handle(NOW, [cold_listing(3)])
         dispatcher.slow_start.workers_with_allowance()
         dispatcher.fleet.workers[3].cold_left = 1e6
-        dispatcher.context.level.shedding = shedding
-        dispatcher.context.level.record_wait(2e4, NOW)  # between the thresholds for falling and rising
+        dispatcher.context.shedding_level.shedding = shedding
+        dispatcher.context.shedding_level.record_wait(
+            2e4, NOW
+        )  # between the thresholds for falling and rising
         return [
             send.worker for send in only(io.Send, dispatcher.handle(NOW, [arrival(1, now=NOW, hint=90_000)]))
         ]
