--- a/carthinge/memory.py
+++ b/carthinge/memory.py
@@ -97,7 +97,7 @@
     """Return the state that ``restore_memory`` restores."""
     fleet = dispatcher.context.fleet
     return Memory(
-        out=sorted(fleet.out),
+        out=sorted(fleet.excluded),
         workers=_export_workers(fleet),
         kinds=[(number, kind.slowdown, kind.slots, kind.size) for number, kind in fleet.kinds.items()],
         meters={name: float(getattr(part, name)) for name, part in _meter_owners(dispatcher).items()},
@@ -190,7 +190,7 @@
 def restore_memory(dispatcher: DispatcherParts, event: io.Inherit) -> None:
     """Restore the state of all workers, and of the classes and tenants that exist here too."""
     memory, context = event.memory, dispatcher.context
-    context.fleet.out.update(memory.out)
+    context.fleet.excluded.update(memory.out)
     _restore_workers(
         context.fleet,
         memory,
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -293,7 +293,7 @@
     def set_excluded_here(self, worker: str, excluded: bool, confirmed: bool) -> bool:
         """Apply an exclusion in this process, before the dispatcher makes its next decision."""
         number = worker_number(worker)
-        known = confirmed or worker in self.directory.listed or number in self.dispatcher.fleet.out
+        known = confirmed or worker in self.directory.listed or number in self.dispatcher.fleet.excluded
         if known:
             log.logger().info("worker_out" if excluded else "worker_back", worker=worker)
             self.tracker.emit(OperatorExclusion(number, excluded))
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -54,8 +54,8 @@
         "_pools",
         "_select_subset",
         "_workers_by_key",
+        "excluded",
         "kinds",
-        "out",
         "subset",
         "version",
         "workers",
@@ -68,7 +68,7 @@
         self.workers_by_tag: dict[int, Worker] = {}
         self.subset: list[Worker] = []  # the subset of the ready workers that this dispatcher prefers
         # Ids of workers excluded by operators; discovery may drop such a worker and list it again.
-        self.out: set[int] = set()
+        self.excluded: set[int] = set()
         self.version = 0  # incremented whenever the list changes
         self._group_by_cell = group_by_cell  # order the workers by cell
         self._select_subset = select_subset
@@ -109,7 +109,7 @@
             if known is None:
                 known, changed = self.add(entry, cap), True
             known.kind_stats = self.kinds.setdefault(entry.kind, known.kind_stats)
-            changed |= known.apply_entry(entry, entry.worker in self.out)
+            changed |= known.apply_entry(entry, entry.worker in self.excluded)
         if changed:
             self.list_changed()
 
@@ -126,9 +126,9 @@
     def set_excluded(self, event: io.OperatorExclusion, cap: float, now: int) -> None:
         """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
         worker = self.workers.get(event.worker)
-        if worker and event.worker in self.out and not event.out:
+        if worker and event.worker in self.excluded and not event.out:
             worker = self.reset_worker(worker, cap, now)
-        (self.out.add if event.out else self.out.discard)(event.worker)
+        (self.excluded.add if event.out else self.excluded.discard)(event.worker)
         if worker:
             worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.out
         self.list_changed()
@@ -150,7 +150,7 @@
     def excluded_count(self, now: int) -> int:
         """Count the listed workers that currently get no jobs, whether excluded by operators or avoided."""
         return sum(
-            worker.listed and (worker.id in self.out or worker.avoid_until > now)
+            worker.listed and (worker.id in self.excluded or worker.avoid_until > now)
             for worker in self.workers.values()
         )
 
