--- a/carthinge/interface.py
+++ b/carthinge/interface.py
@@ -54,7 +54,7 @@
     """An operator excludes a worker or ends its exclusion; worker lists do not change that."""
 
     worker: int
-    out: bool
+    excluded: bool
 
 
 @dataclass(slots=True)
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -126,11 +126,11 @@
     def set_excluded(self, event: io.OperatorExclusion, cap: float, now: int) -> None:
         """Exclude a worker whatever is listed, or end that: then it starts cold and with no history."""
         worker = self.workers.get(event.worker)
-        if worker and event.worker in self.excluded and not event.out:
+        if worker and event.worker in self.excluded and not event.excluded:
             worker = self.reset_worker(worker, cap, now)
-        (self.excluded.add if event.out else self.excluded.discard)(event.worker)
+        (self.excluded.add if event.excluded else self.excluded.discard)(event.worker)
         if worker:
-            worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.out
+            worker.ready = worker.listed and worker.entry.state is io.State.READY and not event.excluded
         self.list_changed()
 
     def apply_peer_load(self, event: io.Message) -> None:
