--- a/carthinge/policy/dispatcher.py
+++ b/carthinge/policy/dispatcher.py
@@ -81,7 +81,7 @@
         self.tenants.configure(settings, event.tenants)
         self.reports.uses_probes = settings.reports is io.Reports.PROBES and settings.may_probe
         self.selector.configure(settings)
-        self.fleet.retune(event.kinds)
+        self.fleet.remap_kinds(event.kinds)
         self.max_client_waits = [
             min(self.max_client_waits[old], spec.deadline) if old >= 0 else 0
             for old, spec in zip(event.classes, settings.classes, strict=True)
--- a/carthinge/worker_registry.py
+++ b/carthinge/worker_registry.py
@@ -113,7 +113,7 @@
         if changed:
             self.list_changed()
 
-    def retune(self, kinds: Sequence[int] | None) -> None:
+    def remap_kinds(self, kinds: Sequence[int] | None) -> None:
         """Move the statistics of each machine kind to its new position after a change of settings.
 
         ``kinds`` has the old position of each kind, -1 for a new one; None if all stay as they are.
