--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -27,7 +27,7 @@
 from carthinge.net.discovery import _LISTS
 from carthinge.net.loop import Clock
 from carthinge.net.worker_directory import WorkerDirectory
-from carthinge.settings import Facts, read_site
+from carthinge.settings import SettingsTable, read_site
 
 SIZES = (200, 500, 1100)
 
@@ -73,7 +73,7 @@
 
 def run(size: int, jobs: int, price: float) -> dict[str, float]:
     site = read_site(
-        Facts.from_nested(
+        SettingsTable.from_nested(
             {**SITE, "instances": size, "machine_types": ["m0", "m1", "m2"], "prices": {"handshake": price}}
         )
     )
--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -38,7 +38,7 @@
     WorkerList,
 )
 from carthinge.policy import Dispatcher
-from carthinge.settings import Facts, read_settings
+from carthinge.settings import SettingsTable, read_settings
 from carthinge.wire import ACTIONS, Act, Ev, Fields, WireError
 
 RESULTS: Final = {
@@ -159,7 +159,7 @@
 
     def _start(self, instance: int, fields: Fields) -> None:
         self.dispatchers[instance] = Dispatcher(
-            read_settings(Facts.from_lines(fields[2].decode())), fields[1]
+            read_settings(SettingsTable.from_lines(fields[2].decode())), fields[1]
         )
 
     def _sync(self, fields: Fields) -> WorkerList:
--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -12,7 +12,7 @@
 from carthinge.net.http import Address
 from carthinge.net.members import Listed
 from carthinge.operator_file import FileError, Options, check_classes, read
-from carthinge.settings import Facts, Site, read_site, shape_of
+from carthinge.settings import SettingsTable, Site, read_site, shape_of
 
 MAX_NAME_BYTES: Final = 64  # in messages among schedulers
 
@@ -101,7 +101,7 @@
         for member in file.known.members:
             Address.parse(member.host_port)
         operator = environment.get("RELAY_OPERATOR") or file.operator
-        site = read_site(Facts.from_nested(file.settings))
+        site = read_site(SettingsTable.from_nested(file.settings))
         for name, spec in zip(site.classes, site.decisions.classes, strict=True):
             if spec.deadline <= 0:
                 raise ValueError(f"services: {name}: hard_limit: must be over 0")
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -38,7 +38,7 @@
     drain_grace: timedelta  #: time after which a draining worker may get no new job
 
 
-class Facts:
+class SettingsTable:
     """Settings by path; errors name the path.  ``typed`` ones must have the right JSON type."""
 
     def __init__(self, values: Mapping[str, object], typed: bool = False) -> None:
@@ -46,12 +46,12 @@
         self._check_types = typed
 
     @classmethod
-    def from_lines(cls, text: str) -> Facts:
+    def from_lines(cls, text: str) -> SettingsTable:
         """Parse the simulator's ``path=value`` lines."""
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     @classmethod
-    def from_nested(cls, nested: Mapping[str, Any]) -> Facts:
+    def from_nested(cls, nested: Mapping[str, Any]) -> SettingsTable:
         """Flatten nested JSON; a list of objects gets a count, as in the simulator's lines."""
         return cls(dict(_flatten(nested)), typed=True)
 
@@ -147,7 +147,7 @@
             yield path, value
 
 
-def read_site(table: Facts) -> Site:
+def read_site(table: SettingsTable) -> Site:
     """Read the settings of the dispatcher and what else the real program needs."""
     settings = read_settings(table)
     return Site(
@@ -166,18 +166,18 @@
     )
 
 
-def _is_pushed(table: Facts) -> bool:
+def _is_pushed(table: SettingsTable) -> bool:
     return table.choice("membership_mode", {"automatic": True, "subscribe": False}, "automatic")
 
 
-def _unique_names(table: Facts, path: str) -> tuple[str, ...]:
+def _unique_names(table: SettingsTable, path: str) -> tuple[str, ...]:
     names = tuple(table.text(f"{path}.{i}.name") for i in range(table.integer(f"{path}.count", 0)))
     if len(set(names)) < len(names):
         raise ValueError(f"{path}: duplicate name")
     return names
 
 
-def read_settings(table: Facts) -> Settings:
+def read_settings(table: SettingsTable) -> Settings:
     """Read the settings of one instance; unknown keys are ignored."""
     names = {
         "rif": "held",
@@ -227,7 +227,7 @@
     )
 
 
-def _read_class(table: Facts, index: int) -> JobClass:
+def _read_class(table: SettingsTable, index: int) -> JobClass:
     def extra(name: str, default: float) -> float:
         listed = table.text_list(f"extra.{name}")
         return float(listed[index]) if index < len(listed) else default
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -7,7 +7,7 @@
 from world import SETTINGS
 
 from carthinge import interface as io
-from carthinge.settings import Facts, read_settings
+from carthinge.settings import SettingsTable, read_settings
 
 R = io.Result
 REPORTING = {"reports": io.Reports.ANSWERS, "report_fields": ("queue", "free_slots")}
@@ -73,7 +73,7 @@
     """With no free slot reported, two are free by the dispatcher's own count, with a third job open."""
     dispatcher = started(
         read_settings(
-            Facts.from_nested({**SETTINGS, "load_info": {"how": "inline", "fields": [name, "x0"]}})
+            SettingsTable.from_nested({**SETTINGS, "load_info": {"how": "inline", "fields": [name, "x0"]}})
         ),
         1,
     )
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -10,7 +10,7 @@
 
 from carthinge.net.load import read_load
 from carthinge.net.tracked_request import Job, Terms
-from carthinge.settings import Facts, read_site
+from carthinge.settings import SettingsTable, read_site
 
 MS = timedelta(milliseconds=1)
 
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize(("allowed", "limit"), [(True, 2_000 * MS), (False, timedelta())])
 def test_retry_after_only_where_settings_allow(allowed, limit):
-    assert read_site(Facts.from_nested(site({"retry_after": allowed}))).max_retry_after == limit
+    assert read_site(SettingsTable.from_nested(site({"retry_after": allowed}))).max_retry_after == limit
 
 
 # ---- load reports and probes --------------------------------------------------------------------
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from world import SETTINGS, Listener, World, member
 
 from carthinge.net.discovery import WatchTiming
-from carthinge.settings import Facts, read_site
+from carthinge.settings import SettingsTable, read_site
 
 
 @pytest.fixture
@@ -236,7 +236,7 @@
 
 @given(grace=st.timedeltas(timedelta(milliseconds=100), timedelta(seconds=10)))
 def test_pushed_watch_is_renewed_within_grace(grace):
-    timing = WatchTiming.of(read_site(Facts.from_nested(pushed(grace // timedelta(microseconds=1)))))
+    timing = WatchTiming.of(read_site(SettingsTable.from_nested(pushed(grace // timedelta(microseconds=1)))))
     assert timing.wait + timing.margin + timing.retry_interval < grace and timing.retry_interval >= timedelta(
         milliseconds=10
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,7 @@
 from world import SETTINGS
 
 from carthinge import interface as io
-from carthinge.settings import Facts, read_settings, read_site
+from carthinge.settings import SettingsTable, read_settings, read_site
 
 
 def to_lines(nested, prefix=""):
@@ -24,14 +24,14 @@
 
 
 def test_json_and_lines_are_equivalent():
-    from_json = read_settings(Facts.from_nested(SETTINGS))
-    assert from_json == read_settings(Facts.from_lines("\n".join(to_lines(SETTINGS))))
+    from_json = read_settings(SettingsTable.from_nested(SETTINGS))
+    assert from_json == read_settings(SettingsTable.from_lines("\n".join(to_lines(SETTINGS))))
     assert from_json.report_fields == ("util", "qps", "free_slots")  # "free slots" in JSON
     assert from_json.classes[1].effect is io.Effect.KEYED and from_json.may_cancel
 
 
 def test_site_has_names_and_durations():
-    site = read_site(Facts.from_nested(SETTINGS))
+    site = read_site(SettingsTable.from_nested(SETTINGS))
     assert site.tenants == ("acme", "beta") and site.report_fields == ("util", "qps", "x0")
     assert site.idle_close.total_seconds() == 5 and site.connect_timeout.total_seconds() == 0.25
 
@@ -40,4 +40,4 @@
 def test_missing_setting_is_named(path):
     text = "\n".join(line for line in SETTINGS_LINES.splitlines() if not line.startswith(path))
     with pytest.raises(ValueError, match=path):
-        read_settings(Facts.from_lines(text))
+        read_settings(SettingsTable.from_lines(text))
--- a/tests/test_settings_carried.py
+++ b/tests/test_settings_carried.py
@@ -12,7 +12,7 @@
 
 from carthinge import interface as io
 from carthinge.memory import export_memory
-from carthinge.settings import Facts, read_site
+from carthinge.settings import SettingsTable, read_site
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = replace(SAFE, objective=10_000, deadline=400_000)
@@ -106,7 +106,7 @@
         member_of_kind("s-press", press.port, "press"),
     )
     before = program.config.site
-    site = read_site(Facts.from_nested(SWAPPED))
+    site = read_site(SettingsTable.from_nested(SWAPPED))
     program._reload_config = lambda config: replace(config, site=site)
     program._reload()
     assert program.config.site is site is not before
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -15,7 +15,7 @@
 from carthinge.net.loop import MICROSECOND
 from carthinge.net.members import Listed, Member
 from carthinge.net.worker_directory import WorkerDirectory, worker_number
-from carthinge.settings import Facts, read_site
+from carthinge.settings import SettingsTable, read_site
 
 STEPS = [timedelta(hours=1), timedelta(hours=-1), timedelta(seconds=3), timedelta(seconds=-3)]
 S = timedelta(seconds=1)
@@ -102,7 +102,7 @@
 def test_step_is_not_taken_for_worker_restart(machine, step):
     """Guards against a start converted to another time, which would discard all data about the worker."""
     clock = Clock()
-    directory = WorkerDirectory(read_site(Facts.from_nested(SETTINGS)), clock)
+    directory = WorkerDirectory(read_site(SettingsTable.from_nested(SETTINGS)), clock)
     machine.advance(30 * S)
     listed = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
     (first,) = directory.apply_list(listed, Listing.WHOLE).entries
