--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -12,7 +12,7 @@
 from carthinge.net.http import Address
 from carthinge.net.members import Listed
 from carthinge.operator_file import FileError, Options, check_classes, read
-from carthinge.settings import SettingsTable, Site, read_site, shape_of
+from carthinge.settings import SettingsTable, Site, key_paths, read_site
 
 MAX_NAME_BYTES: Final = 64  # in messages among schedulers
 
@@ -121,7 +121,7 @@
             limits=file.limits,
             known=file.known,
             site=site,
-            setting_keys=frozenset(shape_of(file.settings)),
+            setting_keys=frozenset(key_paths(file.settings)),
             options=options,
         )
     except FileError as fault:
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -119,15 +119,15 @@
         return choices[raw]
 
 
-def shape_of(nested: Mapping[str, Any], prefix: str = "") -> set[str]:
+def key_paths(nested: Mapping[str, Any], prefix: str = "") -> set[str]:
     """Return the paths of all keys; of a list of objects, those that all its objects have."""
     paths = set()
     for name, value in nested.items():
         paths.add(path := prefix + name)
         if isinstance(value, Mapping):
-            paths |= shape_of(value, path + ".")
+            paths |= key_paths(value, path + ".")
         elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
-            paths |= set.intersection(*(shape_of(item, path + ".*.") for item in value))
+            paths |= set.intersection(*(key_paths(item, path + ".*.") for item in value))
     return paths
 
 
