--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -39,7 +39,7 @@
 )
 from carthinge.policy import Dispatcher
 from carthinge.settings import SettingsTable, read_settings
-from carthinge.wire import ACTIONS, Act, Ev, Fields, WireError
+from carthinge.wire import ACTIONS, Act, EventCode, Fields, WireError
 
 RESULTS: Final = {
     200: Result.OK,
@@ -81,14 +81,14 @@
 
 
 DECODERS: Final[dict[int, Callable[[Fields], Event]]] = {
-    Ev.REQUEST: _arrival,
-    Ev.ENDED: _outcome,
-    Ev.CHANGE: _progress_report,
-    Ev.WAKE: lambda f: Timer(f[1]),
-    Ev.ABANDONED: lambda f: Abandoned(f[1]),
-    Ev.ACCEPTED: lambda f: StreamStarted(f[1], f[2], worker_id(f[3])),
-    Ev.CHECK_RESULT: lambda f: ProbeResult(worker_id(f[1]), RESULTS[f[2]], f[3], f[4]),
-    Ev.MEMO: lambda f: Message(f[1], f[2]),
+    EventCode.REQUEST: _arrival,
+    EventCode.ENDED: _outcome,
+    EventCode.CHANGE: _progress_report,
+    EventCode.WAKE: lambda f: Timer(f[1]),
+    EventCode.ABANDONED: lambda f: Abandoned(f[1]),
+    EventCode.ACCEPTED: lambda f: StreamStarted(f[1], f[2], worker_id(f[3])),
+    EventCode.CHECK_RESULT: lambda f: ProbeResult(worker_id(f[1]), RESULTS[f[2]], f[3], f[4]),
+    EventCode.MEMO: lambda f: Message(f[1], f[2]),
 }
 
 
@@ -127,18 +127,18 @@
         self.reply = []
         inbox: dict[int, list[Event]] = {}
         for code, fields in records:
-            if code == Ev.CATALOG:
+            if code == EventCode.CATALOG:
                 self.tables[fields[0]] = tuple(_entry(raw) for raw in fields[1])
                 continue
             instance = fields[0]
-            if code == Ev.NEW_INSTANCE:
+            if code == EventCode.NEW_INSTANCE:
                 inbox.pop(instance, None)
                 self._run_step(instance, lambda i=instance, f=fields: self._start(i, f))  # type: ignore[misc]
-            elif code == Ev.SHUTDOWN:
+            elif code == EventCode.SHUTDOWN:
                 inbox.pop(instance, None)
                 self.dispatchers.pop(instance, None)
             else:
-                event = self._sync(fields) if code == Ev.SYNC else DECODERS[code](fields)
+                event = self._sync(fields) if code == EventCode.SYNC else DECODERS[code](fields)
                 if instance in self.dispatchers:
                     inbox.setdefault(instance, []).append(event)
         for instance, events in inbox.items():
--- a/carthinge/wire.py
+++ b/carthinge/wire.py
@@ -25,7 +25,7 @@
     tail: str = ""  # "", "text16", "text32", "floats8" or "entries32"
 
 
-class Ev:
+class EventCode:
     """Codes of events."""
 
     NEW_INSTANCE: Final = 10
@@ -60,18 +60,18 @@
 
 
 EVENTS: Final = {
-    Ev.NEW_INSTANCE: RecordLayout("NEW_INSTANCE", Struct("<IQ"), "text32"),
-    Ev.SYNC: RecordLayout("SYNC", Struct("<IIBH")),
-    Ev.REQUEST: RecordLayout("REQUEST", Struct("<IIHIQQIffB")),
-    Ev.ACCEPTED: RecordLayout("ACCEPTED", Struct("<IIB6sI")),
-    Ev.ENDED: RecordLayout("ENDED", Struct("<IIIB6sBHI"), "floats8"),
-    Ev.ABANDONED: RecordLayout("ABANDONED", Struct("<II")),
-    Ev.WAKE: RecordLayout("WAKE", Struct("<IQ")),
-    Ev.CHECK_RESULT: RecordLayout("CHECK_RESULT", Struct("<I6sHI"), "floats8"),
-    Ev.MEMO: RecordLayout("MEMO", Struct("<IH"), "text16"),
-    Ev.SHUTDOWN: RecordLayout("SHUTDOWN", Struct("<I")),
-    Ev.CATALOG: RecordLayout("CATALOG", Struct("<H"), "entries32"),
-    Ev.CHANGE: RecordLayout("CHANGE", Struct("<IIB6sBf")),
+    EventCode.NEW_INSTANCE: RecordLayout("NEW_INSTANCE", Struct("<IQ"), "text32"),
+    EventCode.SYNC: RecordLayout("SYNC", Struct("<IIBH")),
+    EventCode.REQUEST: RecordLayout("REQUEST", Struct("<IIHIQQIffB")),
+    EventCode.ACCEPTED: RecordLayout("ACCEPTED", Struct("<IIB6sI")),
+    EventCode.ENDED: RecordLayout("ENDED", Struct("<IIIB6sBHI"), "floats8"),
+    EventCode.ABANDONED: RecordLayout("ABANDONED", Struct("<II")),
+    EventCode.WAKE: RecordLayout("WAKE", Struct("<IQ")),
+    EventCode.CHECK_RESULT: RecordLayout("CHECK_RESULT", Struct("<I6sHI"), "floats8"),
+    EventCode.MEMO: RecordLayout("MEMO", Struct("<IH"), "text16"),
+    EventCode.SHUTDOWN: RecordLayout("SHUTDOWN", Struct("<I")),
+    EventCode.CATALOG: RecordLayout("CATALOG", Struct("<H"), "entries32"),
+    EventCode.CHANGE: RecordLayout("CHANGE", Struct("<IIB6sBf")),
 }
 ACTIONS: Final = {
     Act.ISSUE: RecordLayout("ISSUE", Struct("<II6sI")),
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -6,7 +6,7 @@
 from helpers import run_adapter
 
 from carthinge import wire
-from carthinge.wire import Act, Ev
+from carthinge.wire import Act, EventCode
 
 SETTINGS_LINES = """instances=3
 position=1
@@ -26,15 +26,19 @@
 
 
 def catalog(count=40):
-    return (Ev.CATALOG, (0, tuple((raw, 0, 0, 0, 1, 1.0, 0) for raw in WORKER_IDS[:count])))
+    return (EventCode.CATALOG, (0, tuple((raw, 0, 0, 0, 1, 1.0, 0) for raw in WORKER_IDS[:count])))
 
 
 def request(number, instance=3, now=1000):
-    return (Ev.REQUEST, (instance, number, 0, number % 2, 0, now + 5_000_000, 40_000, 1.0, 0.0, 1))
+    return (EventCode.REQUEST, (instance, number, 0, number % 2, 0, now + 5_000_000, 40_000, 1.0, 0.0, 1))
 
 
 def started(lines=SETTINGS_LINES, instance=3):
-    return [(Ev.NEW_INSTANCE, (instance, 99, lines.encode())), catalog(), (Ev.SYNC, (instance, 1, 2, 0))]
+    return [
+        (EventCode.NEW_INSTANCE, (instance, 99, lines.encode())),
+        catalog(),
+        (EventCode.SYNC, (instance, 1, 2, 0)),
+    ]
 
 
 def exchange(*batches, hash_seed="0"):
@@ -52,7 +56,10 @@
 def test_request_is_issued_and_ended():
     first, second = exchange(
         (1000, [*started(), request(5)]),
-        (2000, [(Ev.ENDED, (3, 5, 900, 1, WORKER_IDS[0], 0, 200, 0, ())), (Ev.ABANDONED, (3, 5))]),
+        (
+            2000,
+            [(EventCode.ENDED, (3, 5, 900, 1, WORKER_IDS[0], 0, 200, 0, ())), (EventCode.ABANDONED, (3, 5))],
+        ),
     )
     issue = next(fields for code, fields in first if code == Act.ISSUE)
     assert issue[:2] == (3, 5) and issue[2] in WORKER_IDS
@@ -65,21 +72,30 @@
 )
 def test_missing_setting_bails_out(line, field):
     ((code, fields),) = exchange(
-        (1000, [(Ev.NEW_INSTANCE, (3, 99, SETTINGS_LINES.replace(line, "").encode()))])
+        (1000, [(EventCode.NEW_INSTANCE, (3, 99, SETTINGS_LINES.replace(line, "").encode()))])
     )[0]
     assert code == Act.BAIL_OUT and field in fields[1].decode()
 
 
 def test_unknown_effect_bails_out():
     lines = SETTINGS_LINES.replace("read_like", "sometimes")
-    ((code, fields),) = exchange((1000, [(Ev.NEW_INSTANCE, (3, 99, lines.encode()))]))[0]
+    ((code, fields),) = exchange((1000, [(EventCode.NEW_INSTANCE, (3, 99, lines.encode()))]))[0]
     assert code == Act.BAIL_OUT and b"services.0.effect" in fields[1]
 
 
 def test_events_for_unknown_ids_are_ignored():
     replies = exchange(
         (1000, started()),
-        (2000, [request(5), (Ev.SHUTDOWN, (3,)), request(6), (Ev.WAKE, (3, 7)), (Ev.ABANDONED, (8, 7))]),
+        (
+            2000,
+            [
+                request(5),
+                (EventCode.SHUTDOWN, (3,)),
+                request(6),
+                (EventCode.WAKE, (3, 7)),
+                (EventCode.ABANDONED, (8, 7)),
+            ],
+        ),
     )
     assert replies[1] == []
 
@@ -87,8 +103,8 @@
 def test_restarted_instance_forgets_its_requests():
     again = exchange(
         (1000, [*started(), request(5)]),
-        (2000, [(Ev.SHUTDOWN, (3,)), *started()]),
-        (3000, [(Ev.ENDED, (3, 5, 900, 0, WORKER_IDS[0], 0, 502, 0, ()))]),
+        (2000, [(EventCode.SHUTDOWN, (3,)), *started()]),
+        (3000, [(EventCode.ENDED, (3, 5, 900, 0, WORKER_IDS[0], 0, 502, 0, ()))]),
     )[2]
     assert not [code for code, _ in again if code in (Act.ISSUE, Act.BOUNCE, Act.END_FAILED)]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -62,7 +62,7 @@
     now, records = wire.decode_batch(bytes.fromhex(BATCH)[4:])
     assert now == 0x805C5A
     assert records[0][1][2:4] == (0, 0) and records[0][1][6] == 12000 and records[0][1][7] == 2.0
-    assert records[2] == (wire.Ev.ABANDONED, (5, 0x0E6F2B19))
+    assert records[2] == (wire.EventCode.ABANDONED, (5, 0x0E6F2B19))
 
 
 @pytest.mark.parametrize("layouts", [EVENTS, ACTIONS])
