--- a/carthinge/benchlink.py
+++ b/carthinge/benchlink.py
@@ -39,7 +39,7 @@
 )
 from carthinge.policy import Dispatcher
 from carthinge.settings import SettingsTable, read_settings
-from carthinge.wire import ACTIONS, Act, EventCode, Fields, WireError
+from carthinge.wire import ACTIONS, ActionCode, EventCode, Fields, WireError
 
 RESULTS: Final = {
     200: Result.OK,
@@ -97,18 +97,18 @@
 
 
 ENCODERS: Final[dict[type, tuple[int, Callable[[int, Any], Fields]]]] = {
-    Send: (Act.ISSUE, lambda instance, a: (instance, a.request, _wire_worker(a.worker), a.timeout)),
-    Refuse: (Act.BOUNCE, lambda instance, a: (instance, a.request, a.retry_after)),
-    Fail: (Act.END_FAILED, lambda instance, a: (instance, a.request)),
-    Cancel: (Act.WITHDRAW, lambda instance, a: (instance, a.request, a.attempt)),
-    Probe: (Act.PROBE, lambda instance, a: (instance, _wire_worker(a.worker))),
-    SetTimer: (Act.SLEEP, lambda instance, a: (instance, a.token, a.due)),
+    Send: (ActionCode.ISSUE, lambda instance, a: (instance, a.request, _wire_worker(a.worker), a.timeout)),
+    Refuse: (ActionCode.BOUNCE, lambda instance, a: (instance, a.request, a.retry_after)),
+    Fail: (ActionCode.END_FAILED, lambda instance, a: (instance, a.request)),
+    Cancel: (ActionCode.WITHDRAW, lambda instance, a: (instance, a.request, a.attempt)),
+    Probe: (ActionCode.PROBE, lambda instance, a: (instance, _wire_worker(a.worker))),
+    SetTimer: (ActionCode.SLEEP, lambda instance, a: (instance, a.token, a.due)),
     SendMessage: (
-        Act.MEMO_TO,
+        ActionCode.MEMO_TO,
         lambda instance, a: (instance, wire.EVERY_PEER if a.to is None else a.to, a.body),
     ),
-    Watch: (Act.WATCH, lambda instance, a: (instance, 1)),
-    LogLine: (Act.LOG, lambda instance, a: (instance, a.text.encode()[:200])),
+    Watch: (ActionCode.WATCH, lambda instance, a: (instance, 1)),
+    LogLine: (ActionCode.LOG, lambda instance, a: (instance, a.text.encode()[:200])),
 }
 
 
@@ -155,7 +155,9 @@
                 self.failed_instances.add(instance)
                 frame_summary = traceback.extract_tb(error.__traceback__)[-1]
                 text = f"{type(error).__name__}: {error} ({frame_summary.name}:{frame_summary.lineno})"
-                self.reply.append(wire.encode_record(Act.BAIL_OUT, (instance, text.encode()[:1000]), ACTIONS))
+                self.reply.append(
+                    wire.encode_record(ActionCode.BAIL_OUT, (instance, text.encode()[:1000]), ACTIONS)
+                )
 
     def _start(self, instance: int, fields: Fields) -> None:
         self.dispatchers[instance] = Dispatcher(
--- a/carthinge/wire.py
+++ b/carthinge/wire.py
@@ -42,7 +42,7 @@
     CHANGE: Final = 120
 
 
-class Act:
+class ActionCode:
     """Codes of actions."""
 
     ISSUE: Final = 10
@@ -74,18 +74,18 @@
     EventCode.CHANGE: RecordLayout("CHANGE", Struct("<IIB6sBf")),
 }
 ACTIONS: Final = {
-    Act.ISSUE: RecordLayout("ISSUE", Struct("<II6sI")),
-    Act.BOUNCE: RecordLayout("BOUNCE", Struct("<III")),
-    Act.END_FAILED: RecordLayout("END_FAILED", Struct("<II")),
-    Act.WITHDRAW: RecordLayout("WITHDRAW", Struct("<IIB")),
-    Act.SLEEP: RecordLayout("SLEEP", Struct("<IQQ")),
-    Act.PROBE: RecordLayout("PROBE", Struct("<I6s")),
-    Act.DROP_CONNS: RecordLayout("DROP_CONNS", Struct("<I6s")),
-    Act.MEMO_TO: RecordLayout("MEMO_TO", Struct("<II"), "text16"),
-    Act.LOG: RecordLayout("LOG", Struct("<I"), "text16"),
-    Act.BAIL_OUT: RecordLayout("BAIL_OUT", Struct("<I"), "text16"),
-    Act.WATCH: RecordLayout("WATCH", Struct("<IB")),
-    Act.LOOKUP: RecordLayout("LOOKUP", Struct("<I")),
+    ActionCode.ISSUE: RecordLayout("ISSUE", Struct("<II6sI")),
+    ActionCode.BOUNCE: RecordLayout("BOUNCE", Struct("<III")),
+    ActionCode.END_FAILED: RecordLayout("END_FAILED", Struct("<II")),
+    ActionCode.WITHDRAW: RecordLayout("WITHDRAW", Struct("<IIB")),
+    ActionCode.SLEEP: RecordLayout("SLEEP", Struct("<IQQ")),
+    ActionCode.PROBE: RecordLayout("PROBE", Struct("<I6s")),
+    ActionCode.DROP_CONNS: RecordLayout("DROP_CONNS", Struct("<I6s")),
+    ActionCode.MEMO_TO: RecordLayout("MEMO_TO", Struct("<II"), "text16"),
+    ActionCode.LOG: RecordLayout("LOG", Struct("<I"), "text16"),
+    ActionCode.BAIL_OUT: RecordLayout("BAIL_OUT", Struct("<I"), "text16"),
+    ActionCode.WATCH: RecordLayout("WATCH", Struct("<IB")),
+    ActionCode.LOOKUP: RecordLayout("LOOKUP", Struct("<I")),
 }
 EVERY_PEER: Final = 0xFFFFFFFF
 MAX_FRAME_BYTES: Final = 1 << 30  # a greater length is taken for a corrupt header
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -6,7 +6,7 @@
 from helpers import run_adapter
 
 from carthinge import wire
-from carthinge.wire import Act, EventCode
+from carthinge.wire import ActionCode, EventCode
 
 SETTINGS_LINES = """instances=3
 position=1
@@ -61,9 +61,9 @@
             [(EventCode.ENDED, (3, 5, 900, 1, WORKER_IDS[0], 0, 200, 0, ())), (EventCode.ABANDONED, (3, 5))],
         ),
     )
-    issue = next(fields for code, fields in first if code == Act.ISSUE)
+    issue = next(fields for code, fields in first if code == ActionCode.ISSUE)
     assert issue[:2] == (3, 5) and issue[2] in WORKER_IDS
-    assert not [code for code, _ in second if code != Act.SLEEP]
+    assert not [code for code, _ in second if code != ActionCode.SLEEP]
 
 
 @pytest.mark.parametrize(
@@ -74,13 +74,13 @@
     ((code, fields),) = exchange(
         (1000, [(EventCode.NEW_INSTANCE, (3, 99, SETTINGS_LINES.replace(line, "").encode()))])
     )[0]
-    assert code == Act.BAIL_OUT and field in fields[1].decode()
+    assert code == ActionCode.BAIL_OUT and field in fields[1].decode()
 
 
 def test_unknown_effect_bails_out():
     lines = SETTINGS_LINES.replace("read_like", "sometimes")
     ((code, fields),) = exchange((1000, [(EventCode.NEW_INSTANCE, (3, 99, lines.encode()))]))[0]
-    assert code == Act.BAIL_OUT and b"services.0.effect" in fields[1]
+    assert code == ActionCode.BAIL_OUT and b"services.0.effect" in fields[1]
 
 
 def test_events_for_unknown_ids_are_ignored():
@@ -106,7 +106,9 @@
         (2000, [(EventCode.SHUTDOWN, (3,)), *started()]),
         (3000, [(EventCode.ENDED, (3, 5, 900, 0, WORKER_IDS[0], 0, 502, 0, ()))]),
     )[2]
-    assert not [code for code, _ in again if code in (Act.ISSUE, Act.BOUNCE, Act.END_FAILED)]
+    assert not [
+        code for code, _ in again if code in (ActionCode.ISSUE, ActionCode.BOUNCE, ActionCode.END_FAILED)
+    ]
 
 
 def test_actions_are_independent_of_hash_seed():
