--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -77,7 +77,7 @@
             {**SITE, "instances": size, "machine_types": ["m0", "m1", "m2"], "prices": {"handshake": price}}
         )
     )
-    table, module = WorkerDirectory(site, Clock()), Dispatcher(site.decisions, 7)
+    table, module = WorkerDirectory(site, Clock()), Dispatcher(site.dispatcher_settings, 7)
     now = 100_000_000
 
     def apply(body: bytes, listing: io.Listing) -> None:
--- a/carthinge/front/translator.py
+++ b/carthinge/front/translator.py
@@ -28,7 +28,8 @@
         self._classes = {name: index for index, name in enumerate(site.classes)}
         self._tenants = {name: index for index, name in enumerate(site.tenants)}
         self._effects = {
-            name: spec.effect for name, spec in zip(site.classes, site.decisions.classes, strict=True)
+            name: spec.effect
+            for name, spec in zip(site.classes, site.dispatcher_settings.classes, strict=True)
         }
 
     def job_class(self, name: str) -> int | None:
--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -102,7 +102,7 @@
             Address.parse(member.host_port)
         operator = environment.get("RELAY_OPERATOR") or file.operator
         site = read_site(SettingsTable.from_nested(file.settings))
-        for name, spec in zip(site.classes, site.decisions.classes, strict=True):
+        for name, spec in zip(site.classes, site.dispatcher_settings.classes, strict=True):
             if spec.deadline <= 0:
                 raise ValueError(f"services: {name}: hard_limit: must be over 0")
         check_classes(options, site.classes)
--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -62,7 +62,9 @@
         if site.list_is_pushed:
             agent_wait = min(max(site.drain_grace * AGENT_WAIT_FRACTION, MIN_AGENT_WAIT), POLL_WAIT)
             return cls(agent_wait, agent_wait, agent_wait, 2 * agent_wait, agent_wait / 2)
-        wait = min(max(POLL_WAIT, POLL_WAIT_PER_SCHEDULER * site.decisions.instances), MAX_POLL_WAIT)
+        wait = min(
+            max(POLL_WAIT, POLL_WAIT_PER_SCHEDULER * site.dispatcher_settings.instances), MAX_POLL_WAIT
+        )
         return cls(wait, RESPONSE_MARGIN, RETRY_WAIT, RETRY_RESPONSE_MARGIN, None)
 
 
--- a/carthinge/net/worker_client.py
+++ b/carthinge/net/worker_client.py
@@ -61,7 +61,9 @@
         # A missing value that the dispatcher does not read must not invalidate the others.
         if not values or any(
             decision_field in REQUIRED_FIELDS and name not in values
-            for name, decision_field in zip(site.report_fields, site.decisions.report_fields, strict=True)
+            for name, decision_field in zip(
+                site.report_fields, site.dispatcher_settings.report_fields, strict=True
+            )
         ):
             return ()
         return tuple(values.get(name, 0.0) for name in site.report_fields)
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -164,7 +164,9 @@
 
     def _make_adapter(self, dispatcher: Dispatcher) -> FleetAdapter:
         site = self.site
-        return FleetAdapter(dispatcher, quota_budgets(site.tenants, site.decisions), len(site.classes))
+        return FleetAdapter(
+            dispatcher, quota_budgets(site.tenants, site.dispatcher_settings), len(site.classes)
+        )
 
     # ---- datagrams ----------------------------------------------------------------------------
 
@@ -216,7 +218,7 @@
 
     def _tenant_shares(self, known: Mapping[int, float], default: float) -> tuple[float, ...]:
         """The quota shares by the positions of the tenants; 1.0 for quotas that are not lent."""
-        shares = [1.0] * len(self.site.decisions.tenants)
+        shares = [1.0] * len(self.site.dispatcher_settings.tenants)
         for budget, position in self._adapter.budgets.items():
             shares[position] = known.get(budget, default)
         return tuple(shares)
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -60,7 +60,7 @@
         self.loop = Loop()
         self.counters = Counters()
         self.directory = WorkerDirectory(config.site, self.loop.clock)
-        self.dispatcher = Dispatcher(config.site.decisions, config.seed)
+        self.dispatcher = Dispatcher(config.site.dispatcher_settings, config.seed)
         self.tracker = RequestTracker(self.loop, self.dispatcher, self.directory.targets, self.counters)
         self.tracker.ended.add_classes(config.site.classes)
         descriptors = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
@@ -168,7 +168,7 @@
         # Logged before any request can wait: the first log line costs more than many later ones.
         log.logger().info(
             "starting",
-            instances=self.config.site.decisions.instances,
+            instances=self.config.site.dispatcher_settings.instances,
             cores=limits.cores,
             memory_mb=limits.memory_mb,
             sockets=limits.sockets,
@@ -328,7 +328,7 @@
             discovery=str(config.discovery),
             before=str(self.config.discovery),
             classes=",".join(config.site.classes),
-            attempts=config.site.decisions.try_limit,
+            attempts=config.site.dispatcher_settings.try_limit,
         )
         before, site = self.config.site, config.site
         self.config = replace(
@@ -336,7 +336,7 @@
         )
         self.tracker.emit(
             SettingsChange(
-                site.decisions,
+                site.dispatcher_settings,
                 positions(site.classes, before.classes),
                 positions(site.tenants, before.tenants),
                 positions(site.kinds, before.kinds),
@@ -358,7 +358,7 @@
         log.logger().info("draining", owed=len(self.tracker.tracked_requests))
         if self.fleet is not None:
             self.fleet.close(leave=not self.upgrade.leaving)
-        decisions = self.config.site.decisions
+        decisions = self.config.site.dispatcher_settings
         longest = max(spec.deadline for spec in decisions.classes) * MICROSECOND
         # From the earliest arrival of the signal: SIGKILL follows it, however late it is handled.
         drain = drain_schedule(
--- a/carthinge/settings.py
+++ b/carthinge/settings.py
@@ -25,7 +25,7 @@
 class Site:
     """The settings of the dispatcher, and those that the rest of the program needs."""
 
-    decisions: Settings
+    dispatcher_settings: Settings
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
@@ -152,7 +152,7 @@
     settings = read_settings(table)
     return Site(
         # A dispatcher's messages have no transport between real schedulers, whatever a site allows.
-        decisions=replace(settings, may_send_messages=False),
+        dispatcher_settings=replace(settings, may_send_messages=False),
         classes=_unique_names(table, "services"),
         tenants=_unique_names(table, "tenants"),
         zones=tuple(table.text_list("zones")),
