--- a/carthinge/fleet/agenda.py
+++ b/carthinge/fleet/agenda.py
@@ -9,7 +9,7 @@
 Call = Callable[[timedelta], None]  # gets the current time
 
 
-class Agenda:
+class TimerQueue:
     """A queue of the scheduled calls of a state machine."""
 
     def __init__(self) -> None:
--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from carthinge.fleet import membership_limits as limits
-from carthinge.fleet.agenda import Agenda
+from carthinge.fleet.agenda import TimerQueue
 from carthinge.fleet.gossip import LIVE, GossipSender, Member, OutgoingPacket
 from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor
 
@@ -46,7 +46,7 @@
         self._seeds = [other for other in seeds if other != address]
         self._former: list[str] = []  # addresses of the members known before this process was stopped
         self._rng = Random(seed)
-        self._timers = Agenda()
+        self._timers = TimerQueue()
         self._last_number = self._rounds = 0
         self._ping_order: list[str] = []  # names left in this pass over all members
         self._gossip_order: list[str] = []  # the same for gossip
