--- a/carthinge/fleet/membership.py
+++ b/carthinge/fleet/membership.py
@@ -14,9 +14,9 @@
 from random import Random
 
 from carthinge.fleet import membership_limits as limits
-from carthinge.fleet.agenda import TimerQueue
 from carthinge.fleet.gossip import LIVE, GossipSender, Member, OutgoingPacket
 from carthinge.fleet.packets import UINT48_LIMIT, MemberState, Packet, PacketKind, Rumor
+from carthinge.fleet.timer_queue import TimerQueue
 
 
 class Membership:
