--- a/carthinge/fleet/fleet_node.py
+++ b/carthinge/fleet/fleet_node.py
@@ -269,7 +269,7 @@
             _to_ages(now, self.ejections.healthy_at),
         )
 
-    def figures(self) -> dict[str, object]:
+    def metrics(self) -> dict[str, object]:
         """The metrics of the fleet."""
         counts, decision, shares = self.membership.counts(), self.view.ejections, self.view.shares.values()
         return {
--- a/carthinge/fleet/load_shedding.py
+++ b/carthinge/fleet/load_shedding.py
@@ -145,7 +145,7 @@
             f" {self._expected_wait / 1e3:.0f} ms, tolerable wait {self.tolerable_wait / 1e3:.0f} ms"
         )
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """The metrics of the level."""
         return {
             "level_up": int(self.shedding),
--- a/carthinge/fleet/retry_budget.py
+++ b/carthinge/fleet/retry_budget.py
@@ -46,7 +46,7 @@
         """Whether a retry may be made now."""
         return self.retries_left >= 1 - 1e-9
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """The metrics of the budget."""
         return {"budget_left": round(self.retries_left, 1), "budget_spent": self.spent}
 
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -141,13 +141,13 @@
             self._node.apply_settings(self.loop.clock.now(), self._layout(), self._adapter.budgets.keys())
             self._emit_view()
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """The metrics of the fleet and of its messages."""
         counts = {
             name: self.counts[name]
             for name in ("sent", "received", "bytes_sent", "bytes_received", "bad", "not_sent", "namesakes")
         }
-        return {**counts, **(self._node.figures() if self._node is not None else {})}
+        return {**counts, **(self._node.metrics() if self._node is not None else {})}
 
     # ---- local observations -------------------------------------------------------------------
 
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -270,12 +270,12 @@
             "in_flight": self.tracker.in_flight(),
             "workers_known": len(self.directory.listed),
             "workers_excluded": fleet.excluded_count(self.loop.now // MICROSECOND),
-            "overload": self.dispatcher.context.shedding_level.figures()
-            | self.dispatcher.context.retry_budget.figures(),
+            "overload": self.dispatcher.context.shedding_level.metrics()
+            | self.dispatcher.context.retry_budget.metrics(),
             "reloads_ok": counters.reloads_ok,
             "reloads_failed": counters.reloads_failed,
             **({"durable": self.durable.metrics()} if self.durable is not None else {}),
-            **({"fleet": self.fleet.figures()} if self.fleet is not None else {}),
+            **({"fleet": self.fleet.metrics()} if self.fleet is not None else {}),
         }
 
     def set_excluded(self, worker: str, excluded: bool, done: Callable[[bool], None]) -> None:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -148,7 +148,7 @@
     for node in net.nodes.values():
         assert node.view.levels == {5: 2} and node.view.pressure == 1.0
         assert not node.view.ejections.suspected_count and node.view.shares[1] <= 1.5
-        assert node.figures()["summaries_refused"] > 0
+        assert node.metrics()["summaries_refused"] > 0
 
 
 UINTS48, FLOATS = st.integers(0, UINT48_LIMIT - 1), st.floats(min_value=0)
