--- a/carthinge/scheduler/upgrade.py
+++ b/carthinge/scheduler/upgrade.py
@@ -217,7 +217,7 @@
             self._loop.register(listener, READ, self._accept)
 
     def _open_channel(self, sock: socket.socket) -> None:
-        self._channel = Channel(self._loop, sock, self._received, self._on_peer_lost)
+        self._channel = Channel(self._loop, sock, self._on_message, self._on_peer_lost)
 
     def _state_timed_out(self) -> None:
         """Start without the state of a predecessor that is stuck."""
@@ -273,7 +273,7 @@
         if done is not None:
             done(known)
 
-    def _received(self, message: Message, attached: socket.socket | None) -> None:
+    def _on_message(self, message: Message, attached: socket.socket | None) -> None:
         handler = self.handler
         match message:
             case Hello(format=peer_format):
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -299,7 +299,7 @@
     monkeypatch.setattr(program.loop._selector, "register", full, raising=False)
     sock = socket.create_connection(("127.0.0.1", worker.port))
     other = worker.accept()
-    program.upgrade._received(Incoming(fresh=True), sock)
+    program.upgrade._on_message(Incoming(fresh=True), sock)
     assert other.ended() and not failing
     client = dial(program).send(UP_REQUEST)
     run_until(program, lambda: program.frontend.slots.kept)
