--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -24,7 +24,7 @@
 from carthinge.fleet.fleet_node import FleetNode, Observations  # noqa: E402
 from carthinge.fleet.membership import Membership  # noqa: E402
 from carthinge.fleet.packets import MemberState, Packet, PacketKind, Rumor, Summary  # noqa: E402
-from carthinge.fleet.quota_lending import BASE  # noqa: E402
+from carthinge.fleet.quota_lending import OWN_UNITS  # noqa: E402
 
 KEY = b"k" * 32
 SUMMARY = Summary(1 << 40, 1 << 20, 1 << 38, 1.5, [(3, 2), (4, 1)], 12.5, 80.0, [(1 << 63, 1 << 24)])
@@ -118,13 +118,13 @@
     """Return the maximum sum of all quota shares, relative to the whole, in every sequence of partitions."""
     partitions_by_size = {size: partitions([f"m{at}" for at in range(size)]) for size in (3, 4)}
     worst = max(
-        run_ledgers(3, splits, (seed % 3,), seed).max_total / (3 * BASE)
+        run_ledgers(3, splits, (seed % 3,), seed).max_total / (3 * OWN_UNITS)
         for seed, splits in enumerate(product(partitions_by_size[3], repeat=3 if quick else 5))
     )
     return max(
         worst,
         max(
-            run_ledgers(4, splits, (seed % 4,), seed).max_total / (4 * BASE)
+            run_ledgers(4, splits, (seed % 4,), seed).max_total / (4 * OWN_UNITS)
             for seed, splits in enumerate(product(partitions_by_size[4], repeat=1 if quick else 3))
         ),
     )
--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from carthinge.fleet.budget_transfer import UNITS_PER_RETRY, BudgetTransfer
-from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, Ledger
+from carthinge.fleet.quota_lending import LENDABLE, LOAN_PERIODS, OWN_UNITS, Ledger
 from carthinge.fleet.retry_budget import RetryBudget
 
 PERIOD = timedelta(seconds=1)
@@ -103,8 +103,8 @@
     def check(self) -> None:
         parts = self.parts()
         self.max_total = max(self.max_total, sum(parts.values()))
-        assert sum(parts.values()) <= BASE * len(self.names), (self.time, parts)
-        assert all(BASE - LENDABLE <= part <= BASE + LENDABLE for part in parts.values())
+        assert sum(parts.values()) <= OWN_UNITS * len(self.names), (self.time, parts)
+        assert all(OWN_UNITS - LENDABLE <= part <= OWN_UNITS + LENDABLE for part in parts.values())
 
 
 def run_ledgers(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> LedgerWorld:
--- a/carthinge/fleet/fleet_node.py
+++ b/carthinge/fleet/fleet_node.py
@@ -23,7 +23,7 @@
     PacketKind,
     Summary,
 )
-from carthinge.fleet.quota_lending import BASE, Ledger
+from carthinge.fleet.quota_lending import OWN_UNITS, Ledger
 from carthinge.fleet.shared_ejections import EjectionDecision, SharedEjections
 from carthinge.fleet.summary import MAX_PRESSURE, MAX_RETRIES, MICROSECOND, Summaries
 
@@ -157,7 +157,7 @@
         """The shares for a scheduler that leaves the fleet: without borrowed units, less the lent ones."""
         ledger = self.ledger
         return {
-            budget: ledger.available_units(now, budget, ledger.loan_duration) / BASE
+            budget: ledger.available_units(now, budget, ledger.loan_duration) / OWN_UNITS
             for budget in ledger.budgets
         }
 
@@ -236,7 +236,8 @@
         """The shares that hold at least until the next round: loans that end sooner are not counted."""
         ahead = self.period * SHARE_VALIDITY_PERIODS
         return {
-            budget: self.ledger.available_units(now, budget, ahead) / BASE for budget in self.ledger.budgets
+            budget: self.ledger.available_units(now, budget, ahead) / OWN_UNITS
+            for budget in self.ledger.budgets
         }
 
     def _update_suspected(self, now: timedelta, failures: Mapping[int, int]) -> bool:
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -20,8 +20,8 @@
 from hashlib import blake2b
 from typing import Final
 
-BASE: Final = 1024  # units of each budget that a member owns
-LENDABLE: Final = BASE // 2  # the most of these that it lends, and that it borrows
+OWN_UNITS: Final = 1024  # units of each budget that a member owns
+LENDABLE: Final = OWN_UNITS // 2  # the most of these that it lends, and that it borrows
 NEIGHBOURS: Final = 8  # members that a member lends to, and as many that it borrows from
 LOAN_PERIODS: Final = 10
 DRIFT: Final = 1.02  # the lender's loan is longer by that: clock rates may be off by one per cent each
@@ -108,7 +108,7 @@
 
         At least its own units less the lendable ones, at most its own units and as many as are lendable."""
         self._expire(now)
-        own = BASE - (LENDABLE if now < self._loans_known_at else self._lent_units(budget))
+        own = OWN_UNITS - (LENDABLE if now < self._loans_known_at else self._lent_units(budget))
         return own + sum(
             loan.units
             for loans in self.borrowed.values()
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -18,7 +18,7 @@
     UNITS_PER_RETRY,
     BudgetTransfer,
 )
-from carthinge.fleet.quota_lending import BASE, LENDABLE, LOAN_PERIODS, NEIGHBOURS, Ledger
+from carthinge.fleet.quota_lending import LENDABLE, LOAN_PERIODS, NEIGHBOURS, OWN_UNITS, Ledger
 
 
 @pytest.mark.parametrize("busy", [(0,), (0, 1)])
@@ -60,14 +60,18 @@
     world.send = lambda *message: world.in_flight.append((world.time, message))
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
-    assert set(world.parts().values()) == {BASE}
+    assert set(world.parts().values()) == {OWN_UNITS}
     for _ in range(10):
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
-    assert world.parts() == {"m0": BASE + LENDABLE, "m1": BASE - LENDABLE // 2, "m2": BASE - LENDABLE // 2}
+    assert world.parts() == {
+        "m0": OWN_UNITS + LENDABLE,
+        "m1": OWN_UNITS - LENDABLE // 2,
+        "m2": OWN_UNITS - LENDABLE // 2,
+    }
     for _ in range(2 * LOAN_PERIODS):  # partitioned: loans expire without any message
         world.groups = [["m0"], ["m1", "m2"]]
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
-    assert set(world.parts().values()) == {BASE}
+    assert set(world.parts().values()) == {OWN_UNITS}
 
 
 @pytest.mark.parametrize("size", [3, 9, 10, 40])
@@ -101,10 +105,10 @@
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     world.start("m1")
-    assert world.parts()["m1"] == BASE - LENDABLE
+    assert world.parts()["m1"] == OWN_UNITS - LENDABLE
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
-    assert world.parts()["m1"] == BASE
+    assert world.parts()["m1"] == OWN_UNITS
 
 
 # ---- retry budget: transferred, not lent --------------------------------------------------------
