--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from carthinge.fleet.budget_transfer import UNITS_PER_RETRY, BudgetTransfer
-from carthinge.fleet.quota_lending import LENDABLE, LOAN_PERIODS, OWN_UNITS, Ledger
+from carthinge.fleet.quota_lending import LENDABLE_UNITS, LOAN_PERIODS, OWN_UNITS, Ledger
 from carthinge.fleet.retry_budget import RetryBudget
 
 PERIOD = timedelta(seconds=1)
@@ -104,7 +104,9 @@
         parts = self.parts()
         self.max_total = max(self.max_total, sum(parts.values()))
         assert sum(parts.values()) <= OWN_UNITS * len(self.names), (self.time, parts)
-        assert all(OWN_UNITS - LENDABLE <= part <= OWN_UNITS + LENDABLE for part in parts.values())
+        assert all(
+            OWN_UNITS - LENDABLE_UNITS <= part <= OWN_UNITS + LENDABLE_UNITS for part in parts.values()
+        )
 
 
 def run_ledgers(size: int, splits: Sequence[list[list[str]]], busy: Sequence[int], seed: int) -> LedgerWorld:
--- a/carthinge/fleet/quota_lending.py
+++ b/carthinge/fleet/quota_lending.py
@@ -21,7 +21,7 @@
 from typing import Final
 
 OWN_UNITS: Final = 1024  # units of each budget that a member owns
-LENDABLE: Final = OWN_UNITS // 2  # the most of these that it lends, and that it borrows
+LENDABLE_UNITS: Final = OWN_UNITS // 2  # the most of these that it lends, and that it borrows
 NEIGHBOURS: Final = 8  # members that a member lends to, and as many that it borrows from
 LOAN_PERIODS: Final = 10
 DRIFT: Final = 1.02  # the lender's loan is longer by that: clock rates may be off by one per cent each
@@ -46,7 +46,7 @@
 
 def max_loan(members: int) -> int:
     """The units of a budget that one member may borrow from another in a fleet of ``members``."""
-    return LENDABLE // min(NEIGHBOURS, max(1, members - 1))
+    return LENDABLE_UNITS // min(NEIGHBOURS, max(1, members - 1))
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
 
         At least its own units less the lendable ones, at most its own units and as many as are lendable."""
         self._expire(now)
-        own = OWN_UNITS - (LENDABLE if now < self._loans_known_at else self._lent_units(budget))
+        own = OWN_UNITS - (LENDABLE_UNITS if now < self._loans_known_at else self._lent_units(budget))
         return own + sum(
             loan.units
             for loans in self.borrowed.values()
@@ -155,7 +155,7 @@
         ):
             return 0
         self._answered[borrower] = (number, now)
-        lendable = LENDABLE - self._lent_units(budget)
+        lendable = LENDABLE_UNITS - self._lent_units(budget)
         units = min(units, max_loan(len(self._ring)) // 2, lendable)
         if (
             units <= 0
@@ -180,7 +180,7 @@
             return False
         del self._pending[number]
         total = sum(loan.units for loans in self.borrowed.values() for loan in loans if loan.budget == budget)
-        if total + units > LENDABLE:
+        if total + units > LENDABLE_UNITS:
             return False
         self.borrowed.setdefault(lender, []).append(_Loan(budget, units, request.at + self.loan_duration))
         return True
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -22,7 +22,7 @@
 from carthinge.fleet.gossip import OutgoingPacket
 from carthinge.fleet.membership import Membership
 from carthinge.fleet.packets import MAX_PACKET_BYTES, UINT48_LIMIT, MemberState
-from carthinge.fleet.quota_lending import LENDABLE, OWN_UNITS
+from carthinge.fleet.quota_lending import LENDABLE_UNITS, OWN_UNITS
 from carthinge.fleet.summary import layout_digest
 from carthinge.interface import FleetView
 from carthinge.net import log
@@ -36,7 +36,7 @@
 
 MAX_DATAGRAMS_PER_TURN: Final = 64
 RECEIVE_BUFFER_BYTES: Final = 1 << 20  # holds a burst while the loop is busy
-INITIAL_SHARE: Final = 1 - LENDABLE / OWN_UNITS  # of a quota, until the others are known
+INITIAL_SHARE: Final = 1 - LENDABLE_UNITS / OWN_UNITS  # of a quota, until the others are known
 STATE_EVENTS: Final = {
     MemberState.ALIVE: "member_here",
     MemberState.SUSPECT: "member_suspected",
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -18,7 +18,7 @@
     UNITS_PER_RETRY,
     BudgetTransfer,
 )
-from carthinge.fleet.quota_lending import LENDABLE, LOAN_PERIODS, NEIGHBOURS, OWN_UNITS, Ledger
+from carthinge.fleet.quota_lending import LENDABLE_UNITS, LOAN_PERIODS, NEIGHBOURS, OWN_UNITS, Ledger
 
 
 @pytest.mark.parametrize("busy", [(0,), (0, 1)])
@@ -64,9 +64,9 @@
     for _ in range(10):
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
     assert world.parts() == {
-        "m0": OWN_UNITS + LENDABLE,
-        "m1": OWN_UNITS - LENDABLE // 2,
-        "m2": OWN_UNITS - LENDABLE // 2,
+        "m0": OWN_UNITS + LENDABLE_UNITS,
+        "m1": OWN_UNITS - LENDABLE_UNITS // 2,
+        "m2": OWN_UNITS - LENDABLE_UNITS // 2,
     }
     for _ in range(2 * LOAN_PERIODS):  # partitioned: loans expire without any message
         world.groups = [["m0"], ["m1", "m2"]]
@@ -96,7 +96,7 @@
                 assert ledger.receive(*grant, request.units)
                 assert not ledger.receive(*grant, request.units)
                 from_faulty += request.units
-    assert 0 < from_faulty <= LENDABLE
+    assert 0 < from_faulty <= LENDABLE_UNITS
     assert sum("m0" in ledgers[name].borrowed for name in names[1:]) <= NEIGHBOURS
 
 
@@ -105,7 +105,7 @@
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     world.start("m1")
-    assert world.parts()["m1"] == OWN_UNITS - LENDABLE
+    assert world.parts()["m1"] == OWN_UNITS - LENDABLE_UNITS
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     assert world.parts()["m1"] == OWN_UNITS
