--- a/benchmarks/ledger_world.py
+++ b/benchmarks/ledger_world.py
@@ -97,15 +97,16 @@
             self.deliver(left)
         self.check()
 
-    def parts(self) -> dict[str, int]:
+    def available_units(self) -> dict[str, int]:
         return {name: ledger.available_units(self.now(name), 0) for name, ledger in self.ledgers.items()}
 
     def check(self) -> None:
-        parts = self.parts()
-        self.max_total = max(self.max_total, sum(parts.values()))
-        assert sum(parts.values()) <= OWN_UNITS * len(self.names), (self.time, parts)
+        available_units = self.available_units()
+        self.max_total = max(self.max_total, sum(available_units.values()))
+        assert sum(available_units.values()) <= OWN_UNITS * len(self.names), (self.time, available_units)
         assert all(
-            OWN_UNITS - LENDABLE_UNITS <= part <= OWN_UNITS + LENDABLE_UNITS for part in parts.values()
+            OWN_UNITS - LENDABLE_UNITS <= part <= OWN_UNITS + LENDABLE_UNITS
+            for part in available_units.values()
         )
 
 
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -60,10 +60,10 @@
     world.send = lambda *message: world.in_flight.append((world.time, message))
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
-    assert set(world.parts().values()) == {OWN_UNITS}
+    assert set(world.available_units().values()) == {OWN_UNITS}
     for _ in range(10):
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
-    assert world.parts() == {
+    assert world.available_units() == {
         "m0": OWN_UNITS + LENDABLE_UNITS,
         "m1": OWN_UNITS - LENDABLE_UNITS // 2,
         "m2": OWN_UNITS - LENDABLE_UNITS // 2,
@@ -71,7 +71,7 @@
     for _ in range(2 * LOAN_PERIODS):  # partitioned: loans expire without any message
         world.groups = [["m0"], ["m1", "m2"]]
         world.period({"m0": 0.0, "m1": 1.0, "m2": 1.0})
-    assert set(world.parts().values()) == {OWN_UNITS}
+    assert set(world.available_units().values()) == {OWN_UNITS}
 
 
 @pytest.mark.parametrize("size", [3, 9, 10, 40])
@@ -105,10 +105,10 @@
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
     world.start("m1")
-    assert world.parts()["m1"] == OWN_UNITS - LENDABLE_UNITS
+    assert world.available_units()["m1"] == OWN_UNITS - LENDABLE_UNITS
     for _ in range(LOAN_PERIODS + 1):
         world.period(dict.fromkeys(world.names, 1.0))
-    assert world.parts()["m1"] == OWN_UNITS
+    assert world.available_units()["m1"] == OWN_UNITS
 
 
 # ---- retry budget: transferred, not lent --------------------------------------------------------
