--- a/carthinge/fleet/fleet_node.py
+++ b/carthinge/fleet/fleet_node.py
@@ -66,7 +66,7 @@
     ejections: EjectionDecision = field(default_factory=EjectionDecision)
     levels: dict[int, int] = field(default_factory=dict)  #: agreed, by cell with enough votes
     pressure: float = 0.0  #: the median
-    shares: dict[int, float] = field(default_factory=dict)  #: by quota; 1.0 is the member's own share
+    quota_shares: dict[int, float] = field(default_factory=dict)  #: by quota; 1.0 is the member's own share
     voters: int = 1  #: members with a fresh summary, including this one
 
 
@@ -88,7 +88,7 @@
         self.ledger = Ledger(membership.name, budgets, self.period, now, membership.gossip.incarnation)
         self.retry_transfer = BudgetTransfer(membership.gossip.incarnation)
         self.ejections = SharedEjections(membership.name, self.period)
-        self.view = View(shares=dict.fromkeys(budgets, 1.0))
+        self.view = View(quota_shares=dict.fromkeys(budgets, 1.0))
         self.rounds = 0
         self.changes = 0  #: of the view
         self._transferred = 0
@@ -131,7 +131,9 @@
                 now, packet.name, packet.budget_id, packet.number, packet.units, self._fill_levels
             )
             if units:
-                self.view.shares = self._shares(now)  # lent units must not be used once the grant is sent
+                self.view.quota_shares = self._shares(
+                    now
+                )  # lent units must not be used once the grant is sent
                 self.changes += 1
                 self.membership.gossip.queue(
                     PacketKind.GRANT, sender, packet.number, budget_id=packet.budget_id, units=units
@@ -150,7 +152,7 @@
         self._layout = self.summaries.layout = layout
         self.ledger.budgets = budgets
         self._fill_levels = {}
-        self.view.shares = self._shares(now)
+        self.view.quota_shares = self._shares(now)
         self.changes += 1
 
     def standalone_shares(self, now: timedelta) -> dict[int, float]:
@@ -272,7 +274,11 @@
 
     def metrics(self) -> dict[str, object]:
         """The metrics of the fleet."""
-        counts, decision, shares = self.membership.counts(), self.view.ejections, self.view.shares.values()
+        counts, decision, shares = (
+            self.membership.counts(),
+            self.view.ejections,
+            self.view.quota_shares.values(),
+        )
         return {
             **{f"members_{name}": counts[name] for name in ("alive", "suspect", "dead", "left")},
             "voices": self.view.voters,
--- a/carthinge/scheduler/fleet_link.py
+++ b/carthinge/scheduler/fleet_link.py
@@ -214,7 +214,7 @@
     def _emit_view(self) -> None:
         if self._node is not None and self._node.changes != self._emitted_changes:
             self._emitted_changes = self._node.changes
-            self._emit(self._adapter.view(self._node, self._tenant_shares(self._node.view.shares, 1.0)))
+            self._emit(self._adapter.view(self._node, self._tenant_shares(self._node.view.quota_shares, 1.0)))
 
     def _tenant_shares(self, known: Mapping[int, float], default: float) -> tuple[float, ...]:
         """The quota shares by the positions of the tenants; 1.0 for quotas that are not lent."""
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -59,13 +59,16 @@
     net.run(12 * SECOND)  # loans of a previous run have expired
     for name, scheduler in net.schedulers.items():
         scheduler.facts["fill_levels"] = {1: 0.0 if name == "n1" else 1.0}
-    assert net.run(20 * SECOND, lambda: shares_within_total(net) and net.nodes["n1"].view.shares[1] > 1.4)
+    assert net.run(
+        20 * SECOND, lambda: shares_within_total(net) and net.nodes["n1"].view.quota_shares[1] > 1.4
+    )
     net.run(30 * SECOND, lambda: not shares_within_total(net))
     for scheduler in net.schedulers.values():
         scheduler.facts["fill_levels"] = {1: 0.5}
     assert net.run(
         30 * SECOND,
-        lambda: shares_within_total(net) and all(node.view.shares[1] == 1.0 for node in net.nodes.values()),
+        lambda: shares_within_total(net)
+        and all(node.view.quota_shares[1] == 1.0 for node in net.nodes.values()),
     )
 
 
@@ -83,7 +86,7 @@
 
 def shares_within_total(net):
     """Check the shares that the dispatchers use, and not only the ledgers."""
-    assert sum(node.view.shares[1] for node in net.nodes.values()) <= 5
+    assert sum(node.view.quota_shares[1] for node in net.nodes.values()) <= 5
     return True
 
 
@@ -91,7 +94,7 @@
     for node in net.nodes.values():
         node.apply_settings(net.now, 8, [2])
     net.run(3 * SECOND)
-    assert all(list(node.view.shares) == [2] for node in net.nodes.values())
+    assert all(list(node.view.quota_shares) == [2] for node in net.nodes.values())
 
 
 def test_ejection_ends_when_trier_succeeds(net):
@@ -147,7 +150,7 @@
         net.run(SECOND / 4)
     for node in net.nodes.values():
         assert node.view.levels == {5: 2} and node.view.pressure == 1.0
-        assert not node.view.ejections.suspected_count and node.view.shares[1] <= 1.5
+        assert not node.view.ejections.suspected_count and node.view.quota_shares[1] <= 1.5
         assert node.metrics()["summaries_refused"] > 0
 
 
