--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -9,7 +9,7 @@
 from typing import Final, Protocol
 
 from carthinge.durable import records
-from carthinge.durable.held import Ending, Held, JobRecorder, Waiter
+from carthinge.durable.held import DurableJob, Ending, JobRecorder, Waiter
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.records import Accepted, FoundJob, JobState
@@ -57,7 +57,7 @@
         self._limits = limits
         self._index = index
         self._terms_of = terms_of
-        self._unwritten: list[tuple[timedelta, int, Held]] = []  # heap of (time limit, number, job)
+        self._unwritten: list[tuple[timedelta, int, DurableJob]] = []  # heap of (time limit, number, job)
         self._unwritten_timer: Timer | None = None
 
     def submit(self, job: Job, terms: Terms, key: bytes | None, waiter: Waiter, arrived: timedelta) -> None:
@@ -98,7 +98,7 @@
             arrived // MICROSECOND,
             (arrived + terms.timeout) // MICROSECOND,
         )
-        durable_job = Held(self._jobs, accepted)
+        durable_job = DurableJob(self._jobs, accepted)
         durable_job.add_waiter(waiter)
         self._index.add(durable_job)
         now = self._loop.now
@@ -110,7 +110,7 @@
             self._unwritten_timer = self._loop.call_at(timeout_at, self._shed_overdue)
         writer.write(accepted, partial(self._on_disk, durable_job))
 
-    def _on_disk(self, durable_job: Held, found: FoundJob | None) -> None:
+    def _on_disk(self, durable_job: DurableJob, found: FoundJob | None) -> None:
         accepted, durable_job.on_disk = durable_job.accepted, True
         if found is not None:  # another job has its key
             self._index.remove(durable_job)
@@ -140,7 +140,7 @@
         if self._unwritten:
             self._unwritten_timer = self._loop.call_at(self._unwritten[0][0], self._shed_overdue)
 
-    def _shed_unwritten(self, durable_job: Held) -> None:
+    def _shed_unwritten(self, durable_job: DurableJob) -> None:
         """Shed a job that is not on disk in time, and mark it so that it is not run if written later."""
         durable_job.accepted.cancelled = True
         waiters, durable_job.waiters = durable_job.waiters, []
@@ -152,7 +152,7 @@
         self.shed_by_reason[reason.name.lower()] += 1
         waiter.shed(reason, RETRY_AFTER)
 
-    def _join(self, durable_job: Held, digest: bytes, waiter: Waiter) -> None:
+    def _join(self, durable_job: DurableJob, digest: bytes, waiter: Waiter) -> None:
         if durable_job.accepted.digest != digest:
             waiter.key_mismatch()
         elif durable_job.notified and durable_job.ending is not None:
--- a/carthinge/durable/held.py
+++ b/carthinge/durable/held.py
@@ -26,7 +26,7 @@
 class Waiter(Protocol):
     """Is notified about a job; at most one of ``ended``, ``shed`` and ``key_mismatch`` is called."""
 
-    durable_job: Held | None  #: the job that it waits for; set by the job
+    durable_job: DurableJob | None  #: the job that it waits for; set by the job
 
     def accepted(self, number: int) -> None:
         """The job is accepted under this number."""
@@ -47,21 +47,21 @@
 class JobRecorder(Protocol):
     """Records what the tracker reports about a job."""
 
-    def end(self, durable_job: Held, ending: Ending) -> None:
+    def end(self, durable_job: DurableJob, ending: Ending) -> None:
         """Record the final end of a job."""
 
-    def grant(self, durable_job: Held, attempt: Attempt, send: Callable[[], None]) -> None:
+    def grant(self, durable_job: DurableJob, attempt: Attempt, send: Callable[[], None]) -> None:
         """Record that an attempt is about to be sent; call ``send`` once that is on disk."""
 
     def renew(self, attempt: Attempt, begun: bool) -> None:
         """Extend an attempt's lease after a callback of its worker."""
 
-    def attempt_ended(self, durable_job: Held, attempt: Attempt, result: io.Result) -> None:
+    def attempt_ended(self, durable_job: DurableJob, attempt: Attempt, result: io.Result) -> None:
         """Record the end of an attempt."""
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class DurableJob:
     """A durable job that is open here, or whose end is not on disk yet.
 
     Implements the tracker's protocols for a client and for recording attempts.
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -17,7 +17,7 @@
 from carthinge import interface as io
 from carthinge.durable.admission import Admission
 from carthinge.durable.attempt_leases import AttemptLeases
-from carthinge.durable.held import Ending, Held, Waiter
+from carthinge.durable.held import DurableJob, Ending, Waiter
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
 from carthinge.durable.read_back import ReadBack
@@ -196,7 +196,7 @@
 
     # ---- lookup ---------------------------------------------------------------------------
 
-    def look_up(self, name: str, done: Callable[[Held | FoundJob | int], None]) -> None:
+    def look_up(self, name: str, done: Callable[[DurableJob | FoundJob | int], None]) -> None:
         """Look up a job by name, open or ended; ``done`` gets the job or a status: 404 for a name that was
         never issued, 410 for a deleted job, 500 for a damaged one, 503 if the store cannot be read."""
         if not self.loaded:
@@ -216,7 +216,7 @@
                 lambda store: store.find(number), lambda found: done(_lookup_result(found))
             )
 
-    def add_waiter(self, durable_job: Held, waiter: Waiter) -> None:
+    def add_waiter(self, durable_job: DurableJob, waiter: Waiter) -> None:
         """Notify ``waiter`` of the job's end."""
         if durable_job.notified and durable_job.ending is not None:
             waiter.ended(durable_job.ending)
@@ -229,7 +229,7 @@
             waiter.durable_job.waiters.remove(waiter)
         waiter.durable_job = None
 
-    def give_up(self, durable_job: Held, done: Callable[[], None]) -> bool:
+    def give_up(self, durable_job: DurableJob, done: Callable[[], None]) -> bool:
         """Give up a job for its client; ``done`` is called once that is on disk.  False if it has ended."""
         if durable_job.ending is not None:
             return False
@@ -248,7 +248,7 @@
 
     # ---- called by the tracker ---------------------------------------------------------------
 
-    def grant(self, durable_job: Held, attempt: Attempt, send: Callable[[], None]) -> None:
+    def grant(self, durable_job: DurableJob, attempt: Attempt, send: Callable[[], None]) -> None:
         """Record that an attempt is about to be sent; call ``send`` once that is on disk."""
         if self.handing_over:
             self.postpone(lambda: self.grant(durable_job, attempt, send) if attempt.open else None)
@@ -273,7 +273,7 @@
         """Extend an attempt's lease after a callback of its worker."""
         self.attempt_leases.renew(self.writer, attempt, begun)
 
-    def attempt_ended(self, durable_job: Held, attempt: Attempt, result: io.Result) -> None:
+    def attempt_ended(self, durable_job: DurableJob, attempt: Attempt, result: io.Result) -> None:
         """Record the end of an attempt, and which attempt provides the result."""
         # The first of two hedged attempts to end provides the result.
         if result is io.Result.OK and durable_job.ending is None:
@@ -282,7 +282,7 @@
 
     # ---- callbacks ------------------------------------------------------------------------
 
-    def acknowledge(self, durable_job: Held, done: Callable[[int], None]) -> None:
+    def acknowledge(self, durable_job: DurableJob, done: Callable[[int], None]) -> None:
         """Answer a callback, once the end that it caused is on disk."""
         if durable_job.ending is not None:
             durable_job.callbacks.append(done)
@@ -341,7 +341,7 @@
 
     # ---- ends -----------------------------------------------------------------------------
 
-    def end(self, durable_job: Held, ending: Ending) -> None:
+    def end(self, durable_job: DurableJob, ending: Ending) -> None:
         """Record the end of a job and notify its waiters once it is on disk.
 
         A waiter whose deadline comes earlier reads ``ending`` itself.
@@ -367,14 +367,14 @@
                 partial(self._ended, durable_job),
             )
 
-    def _ended(self, durable_job: Held, _: FoundJob | None) -> None:
+    def _ended(self, durable_job: DurableJob, _: FoundJob | None) -> None:
         self._notify_waiters(durable_job)
         self.register.remove(durable_job)
         callbacks, durable_job.callbacks = durable_job.callbacks, []
         for call in callbacks:
             call(HTTPStatus.NO_CONTENT)
 
-    def _notify_waiters(self, durable_job: Held) -> None:
+    def _notify_waiters(self, durable_job: DurableJob) -> None:
         ending = durable_job.ending
         if not durable_job.notified and ending is not None:
             durable_job.notified = True
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -10,7 +10,7 @@
 
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.errors import StoreError
-from carthinge.durable.held import Ending, Held, JobRecorder
+from carthinge.durable.held import DurableJob, Ending, JobRecorder
 from carthinge.durable.records import Accepted, AttemptState, JobState, OpenJobs, StoredJob
 from carthinge.durable.recovery import RecoveryQueue
 from carthinge.durable.register import Register
@@ -41,7 +41,7 @@
         self.loaded = False  #: whether all open jobs have been read
         self.recovered = 0  #: number of jobs read
         self.damaged: set[int] = set()  #: numbers of jobs whose records cannot be read
-        self.recovery_queue: RecoveryQueue[Held] = RecoveryQueue(per_s)
+        self.recovery_queue: RecoveryQueue[DurableJob] = RecoveryQueue(per_s)
         self._jobs = jobs
         self._loop = loop
         self._tracker = tracker
@@ -106,7 +106,7 @@
 
     def _recover(self, stored: StoredJob) -> None:
         accepted = stored.accepted
-        durable_job = Held(self._jobs, accepted, on_disk=True, stored_attempts=stored.attempts)
+        durable_job = DurableJob(self._jobs, accepted, on_disk=True, stored_attempts=stored.attempts)
         durable_job.last_token = max((attempt.token for attempt in stored.attempts), default=0)
         self.recovered += 1
         self._index.add(durable_job)
@@ -123,7 +123,7 @@
         if due is not None:
             self._loop.call_at(due, self._readmit_due)
 
-    def _restore(self, durable_job: Held) -> None:
+    def _restore(self, durable_job: DurableJob) -> None:
         """Pass a job to the tracker, with its earlier attempts."""
         accepted = durable_job.accepted
         time_left = accepted.deadline * MICROSECOND - self._loop.now
--- a/carthinge/durable/register.py
+++ b/carthinge/durable/register.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carthinge.durable.held import Held
+from carthinge.durable.held import DurableJob
 from carthinge.durable.limits import Limits
 
 
@@ -10,12 +10,12 @@
     """Open jobs by number, by key and by request id; counted by the limits."""
 
     def __init__(self, limits: Limits) -> None:
-        self.by_number: dict[int, Held] = {}
-        self.by_key: dict[bytes, Held] = {}
-        self.by_req_id: dict[str, Held] = {}
+        self.by_number: dict[int, DurableJob] = {}
+        self.by_key: dict[bytes, DurableJob] = {}
+        self.by_req_id: dict[str, DurableJob] = {}
         self._limits = limits
 
-    def add(self, durable_job: Held) -> None:
+    def add(self, durable_job: DurableJob) -> None:
         """Add an open job."""
         accepted = durable_job.accepted
         self.by_number[accepted.number] = durable_job
@@ -24,7 +24,7 @@
             self.by_key[accepted.key] = durable_job
         self._limits.add(accepted.tenant, len(accepted.body))
 
-    def remove(self, durable_job: Held) -> None:
+    def remove(self, durable_job: DurableJob) -> None:
         """Remove a job; does nothing if it is not in the index."""
         accepted = durable_job.accepted
         if self.by_number.pop(accepted.number, None) is None:
--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -16,7 +16,7 @@
 from carthinge.net.worker_client import WorkerClient
 
 if TYPE_CHECKING:  # not loaded where no job is durable
-    from carthinge.durable.held import Held
+    from carthinge.durable.held import DurableJob
     from carthinge.durable.jobs import DurableJobs
 
 CALLBACK_PATH: Final = b"/v1/job-events"
@@ -137,7 +137,7 @@
             journal.renew(attempt, event.state != "heartbeat")
         self._report(attempt, event)
         if journal is not None and jobs is not None:
-            jobs.acknowledge(cast("Held", journal), done)
+            jobs.acknowledge(cast("DurableJob", journal), done)
         else:
             done(HTTPStatus.NO_CONTENT)
 
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from carthinge.durable.held import Ending, Held
+from carthinge.durable.held import DurableJob, Ending
 from carthinge.durable.jobs import DurableJobs
 from carthinge.durable.limits import ShedReason
 from carthinge.durable.records import FoundJob, JobState
@@ -141,7 +141,7 @@
     def __init__(
         self, front: DurableFront, connection: Connection, request: Request, mode: Mode, wait: timedelta
     ) -> None:
-        self.durable_job: Held | None = None
+        self.durable_job: DurableJob | None = None
         self.number = 0  # of its job; 0 until known
         self.mode = mode
         self.in_place = mode is Mode.IN_PLACE
@@ -208,13 +208,13 @@
 
     # ---- requests for a job by name -------------------------------------------------------
 
-    def watch(self, name: str) -> Callable[[Held | FoundJob | int], None]:
+    def watch(self, name: str) -> Callable[[DurableJob | FoundJob | int], None]:
         """Return a function that handles the result of the lookup of that name, to wait for the job."""
 
-        def found(job: Held | FoundJob | int) -> None:
+        def found(job: DurableJob | FoundJob | int) -> None:
             if self._finished:
                 return
-            if isinstance(job, Held):
+            if isinstance(job, DurableJob):
                 self.number = job.accepted.number
                 self._front.jobs.add_waiter(job, self)
                 self._wait_or_answer()
@@ -226,11 +226,11 @@
 
         return found
 
-    def give_up(self, name: str) -> Callable[[Held | FoundJob | int], None]:
+    def give_up(self, name: str) -> Callable[[DurableJob | FoundJob | int], None]:
         """Return a function that handles the result of the lookup, to give the job up."""
 
-        def found(job: Held | FoundJob | int) -> None:
-            if isinstance(job, Held):
+        def found(job: DurableJob | FoundJob | int) -> None:
+            if isinstance(job, DurableJob):
                 if not self._front.jobs.give_up(job, lambda: self._reply(HTTPStatus.NO_CONTENT, b"", [])):
                     self._reply(HTTPStatus.CONFLICT, b"the job has ended\n", [])
             elif isinstance(job, FoundJob):
