--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -9,7 +9,7 @@
 from typing import Final, Protocol
 
 from carthinge.durable import records
-from carthinge.durable.held import DurableJob, Ending, JobRecorder, Waiter
+from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder, Waiter
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.records import Accepted, FoundJob, JobState
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -17,7 +17,7 @@
 from carthinge import interface as io
 from carthinge.durable.admission import Admission
 from carthinge.durable.attempt_leases import AttemptLeases
-from carthinge.durable.held import DurableJob, Ending, Waiter
+from carthinge.durable.durable_job import DurableJob, Ending, Waiter
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
 from carthinge.durable.read_back import ReadBack
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -9,8 +9,8 @@
 from typing import Final
 
 from carthinge.durable.attempt_leases import AttemptLeases
+from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder
 from carthinge.durable.errors import StoreError
-from carthinge.durable.held import DurableJob, Ending, JobRecorder
 from carthinge.durable.records import Accepted, AttemptState, JobState, OpenJobs, StoredJob
 from carthinge.durable.recovery import RecoveryQueue
 from carthinge.durable.register import Register
--- a/carthinge/durable/register.py
+++ b/carthinge/durable/register.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carthinge.durable.held import DurableJob
+from carthinge.durable.durable_job import DurableJob
 from carthinge.durable.limits import Limits
 
 
--- a/carthinge/front/callbacks.py
+++ b/carthinge/front/callbacks.py
@@ -16,7 +16,7 @@
 from carthinge.net.worker_client import WorkerClient
 
 if TYPE_CHECKING:  # not loaded where no job is durable
-    from carthinge.durable.held import DurableJob
+    from carthinge.durable.durable_job import DurableJob
     from carthinge.durable.jobs import DurableJobs
 
 CALLBACK_PATH: Final = b"/v1/job-events"
--- a/carthinge/front/durable_front.py
+++ b/carthinge/front/durable_front.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from carthinge.durable.held import DurableJob, Ending
+from carthinge.durable.durable_job import DurableJob, Ending
 from carthinge.durable.jobs import DurableJobs
 from carthinge.durable.limits import ShedReason
 from carthinge.durable.records import FoundJob, JobState
