--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -10,10 +10,10 @@
 
 from carthinge.durable import records
 from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder, Waiter
+from carthinge.durable.job_index import Register
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.records import Accepted, FoundJob, JobState
-from carthinge.durable.register import Register
 from carthinge.durable.writer import Writer
 from carthinge.net.loop import MICROSECOND, Loop, Timer
 from carthinge.net.request_tracker import RequestTracker
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -18,6 +18,7 @@
 from carthinge.durable.admission import Admission
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, Waiter
+from carthinge.durable.job_index import Register
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
 from carthinge.durable.read_back import ReadBack
@@ -28,7 +29,6 @@
     FoundJob,
     JobState,
 )
-from carthinge.durable.register import Register
 from carthinge.durable.store import Store, Time
 from carthinge.durable.writer import Writer
 from carthinge.net.http import Address
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -11,9 +11,9 @@
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder
 from carthinge.durable.errors import StoreError
+from carthinge.durable.job_index import Register
 from carthinge.durable.records import Accepted, AttemptState, JobState, OpenJobs, StoredJob
 from carthinge.durable.recovery import RecoveryQueue
-from carthinge.durable.register import Register
 from carthinge.durable.writer import Writer
 from carthinge.net import log
 from carthinge.net.loop import MICROSECOND, Loop
