--- a/carthinge/durable/admission.py
+++ b/carthinge/durable/admission.py
@@ -10,7 +10,7 @@
 
 from carthinge.durable import records
 from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder, Waiter
-from carthinge.durable.job_index import Register
+from carthinge.durable.job_index import JobIndex
 from carthinge.durable.job_names import key_digest, request_digest
 from carthinge.durable.limits import Limits, ShedReason
 from carthinge.durable.records import Accepted, FoundJob, JobState
@@ -47,7 +47,7 @@
         loop: Loop,
         tracker: RequestTracker,
         limits: Limits,
-        index: Register,
+        index: JobIndex,
         terms_of: Callable[[Accepted, timedelta], Terms | None],
     ) -> None:
         self.shed_by_reason: dict[str, int] = dict.fromkeys((reason.name.lower() for reason in ShedReason), 0)
--- a/carthinge/durable/job_index.py
+++ b/carthinge/durable/job_index.py
@@ -6,7 +6,7 @@
 from carthinge.durable.limits import Limits
 
 
-class Register:
+class JobIndex:
     """Open jobs by number, by key and by request id; counted by the limits."""
 
     def __init__(self, limits: Limits) -> None:
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -18,7 +18,7 @@
 from carthinge.durable.admission import Admission
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, Waiter
-from carthinge.durable.job_index import Register
+from carthinge.durable.job_index import JobIndex
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
 from carthinge.durable.read_back import ReadBack
@@ -65,7 +65,7 @@
             durable.max_store_bytes,
             durable.max_backlog,
         )
-        self.register = Register(self.limits)
+        self.register = JobIndex(self.limits)
         self.attempt_leases = AttemptLeases(
             loop, options.leases.duration, entry_of, target_of, tracker.expire
         )
--- a/carthinge/durable/read_back.py
+++ b/carthinge/durable/read_back.py
@@ -11,7 +11,7 @@
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, JobRecorder
 from carthinge.durable.errors import StoreError
-from carthinge.durable.job_index import Register
+from carthinge.durable.job_index import JobIndex
 from carthinge.durable.records import Accepted, AttemptState, JobState, OpenJobs, StoredJob
 from carthinge.durable.recovery import RecoveryQueue
 from carthinge.durable.writer import Writer
@@ -31,7 +31,7 @@
         jobs: JobRecorder,
         loop: Loop,
         tracker: RequestTracker,
-        index: Register,
+        index: JobIndex,
         attempt_leases: AttemptLeases,
         per_s: float,
         path: Path,
