--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -65,14 +65,14 @@
             durable.max_store_bytes,
             durable.max_backlog,
         )
-        self.register = JobIndex(self.limits)
+        self.index = JobIndex(self.limits)
         self.attempt_leases = AttemptLeases(
             loop, options.leases.duration, entry_of, target_of, tracker.expire
         )
         self.late_results = self.stale_calls = 0
         self.writer: Writer | None = None
         self._tracker = tracker
-        self._admission = Admission(self, loop, tracker, self.limits, self.register, terms_of)
+        self._admission = Admission(self, loop, tracker, self.limits, self.index, terms_of)
         self._options = durable
         self._boot_id = boot_id
         self._store = Store(Path(durable.folder), durable.max_store_bytes)
@@ -80,7 +80,7 @@
             self,
             loop,
             tracker,
-            self.register,
+            self.index,
             self.attempt_leases,
             durable.recover_per_s,
             self._store.path,
@@ -123,12 +123,12 @@
 
     def release_all(self) -> None:
         """Drop all open jobs from memory; they continue from the store, in this process or another."""
-        for durable_job in list(self.register.by_number.values()):
+        for durable_job in list(self.index.by_number.values()):
             for waiter in durable_job.waiters:
                 waiter.handed_over(durable_job.accepted.number)
             if durable_job.tracked is not None:
                 self._tracker.give_away(durable_job.tracked)
-            self.register.remove(durable_job)
+            self.index.remove(durable_job)
             self.read_back.recovery_queue.remove(durable_job)
         self.attempt_leases.clear()
         self._postponed.clear()
@@ -137,14 +137,14 @@
         """Whether an attempt is being sent to a worker, or is about to be."""
         return any(
             (attempt.awaiting_grant and attempt.token) or busy(attempt)
-            for durable_job in self.register.by_number.values()
+            for durable_job in self.index.by_number.values()
             if durable_job.tracked is not None
             for attempt in durable_job.tracked.open_attempts()
         )
 
     def has_request(self, req_id: str) -> bool:
         """Whether a durable job with that request id is open here."""
-        return req_id in self.register.by_req_id
+        return req_id in self.index.by_req_id
 
     def metrics(self) -> dict[str, object]:
         """Return the current metrics."""
@@ -207,7 +207,7 @@
             done(HTTPStatus.NOT_FOUND)
         elif number in self.read_back.damaged:
             done(HTTPStatus.INTERNAL_SERVER_ERROR)
-        elif (durable_job := self.register.by_number.get(number)) is not None and durable_job.on_disk:
+        elif (durable_job := self.index.by_number.get(number)) is not None and durable_job.on_disk:
             done(durable_job)
         elif self.writer is None:
             done(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -297,7 +297,7 @@
         A result counts only if its token is that of the job's latest attempt and no attempt is open.  A
         callback whose result is on disk already is acknowledged again.
         """
-        durable_job = self.register.by_req_id.get(req_id)
+        durable_job = self.index.by_req_id.get(req_id)
         if durable_job is None:
             self._acknowledge_recorded(token, done)
         elif durable_job.ending is not None and durable_job.result_token == token:
@@ -369,7 +369,7 @@
 
     def _ended(self, durable_job: DurableJob, _: FoundJob | None) -> None:
         self._notify_waiters(durable_job)
-        self.register.remove(durable_job)
+        self.index.remove(durable_job)
         callbacks, durable_job.callbacks = durable_job.callbacks, []
         for call in callbacks:
             call(HTTPStatus.NO_CONTENT)
