--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -19,9 +19,9 @@
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, Waiter
 from carthinge.durable.job_index import JobIndex
+from carthinge.durable.job_loader import ReadBack
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
-from carthinge.durable.read_back import ReadBack
 from carthinge.durable.records import (
     Accepted,
     Collected,
