--- a/carthinge/durable/job_loader.py
+++ b/carthinge/durable/job_loader.py
@@ -23,7 +23,7 @@
 LOAD_BATCH_JOBS: Final = 500  # per turn of the loop
 
 
-class ReadBack:
+class JobLoader:
     """Loads the open jobs of a store and readmits them; defers calls that need all of them."""
 
     def __init__(
--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -19,7 +19,7 @@
 from carthinge.durable.attempt_leases import AttemptLeases
 from carthinge.durable.durable_job import DurableJob, Ending, Waiter
 from carthinge.durable.job_index import JobIndex
-from carthinge.durable.job_loader import ReadBack
+from carthinge.durable.job_loader import JobLoader
 from carthinge.durable.job_names import job_name, job_number
 from carthinge.durable.limits import Limits
 from carthinge.durable.records import (
@@ -76,7 +76,7 @@
         self._options = durable
         self._boot_id = boot_id
         self._store = Store(Path(durable.folder), durable.max_store_bytes)
-        self.read_back = ReadBack(
+        self.read_back = JobLoader(
             self,
             loop,
             tracker,
