--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -76,7 +76,7 @@
         self._options = durable
         self._boot_id = boot_id
         self._store = Store(Path(durable.folder), durable.max_store_bytes)
-        self.read_back = JobLoader(
+        self.loader = JobLoader(
             self,
             loop,
             tracker,
@@ -94,7 +94,7 @@
     @property
     def loaded(self) -> bool:
         """Whether all open jobs have been read from the store."""
-        return self.read_back.loaded
+        return self.loader.loaded
 
     # ---- start and end --------------------------------------------------------------------
 
@@ -104,7 +104,7 @@
         self.handing_over = self._stopped = False
         self._sequence = 0
         self.writer = Writer(self._store, self.time, lambda sock, call: self.loop.register(sock, READ, call))
-        self.read_back.begin(self.writer)
+        self.loader.begin(self.writer)
 
     def close(self, timeout: timedelta = timedelta(seconds=5)) -> bool:
         """Write pending records and release the store; return False if not all could be written."""
@@ -112,7 +112,7 @@
         if writer is None:
             return True
         self._stopped = True
-        self.read_back.stop()
+        self.loader.stop()
         all_written = writer.stop(timeout)
         writer.deliver()
         self.loop.unregister(writer.wake_in)
@@ -129,7 +129,7 @@
             if durable_job.tracked is not None:
                 self._tracker.give_away(durable_job.tracked)
             self.index.remove(durable_job)
-            self.read_back.recovery_queue.remove(durable_job)
+            self.loader.recovery_queue.remove(durable_job)
         self.attempt_leases.clear()
         self._postponed.clear()
 
@@ -152,14 +152,14 @@
         return {
             "open": self.limits.open,
             "open_bytes": self.limits.bytes,
-            "waiting_to_enter": len(self.read_back.recovery_queue),
+            "waiting_to_enter": len(self.loader.recovery_queue),
             "leases": len(self.attempt_leases.leases),
             "leases_expired": self.attempt_leases.expired,
             "late_results": self.late_results,
             "stale_calls": self.stale_calls,
-            "recovered": self.read_back.recovered,
+            "recovered": self.loader.recovered,
             "loaded": self.loaded,
-            "damaged": len(self.read_back.damaged),
+            "damaged": len(self.loader.damaged),
             "shed": self._admission.shed_by_reason,
             "failing": bool(writer and writer.failing),
             "failures": writer.failures if writer else 0,
@@ -190,7 +190,7 @@
         """Submit a request for a durable job; ``waiter`` is notified of the outcome."""
         if not self.loaded:  # its key may belong to a job that is not loaded yet
             arrived = self.loop.now
-            self.read_back.defer(lambda: self._admission.submit(job, terms, key, waiter, arrived))
+            self.loader.defer(lambda: self._admission.submit(job, terms, key, waiter, arrived))
         else:
             self._admission.submit(job, terms, key, waiter, self.loop.now)
 
@@ -200,12 +200,12 @@
         """Look up a job by name, open or ended; ``done`` gets the job or a status: 404 for a name that was
         never issued, 410 for a deleted job, 500 for a damaged one, 503 if the store cannot be read."""
         if not self.loaded:
-            self.read_back.defer(lambda: self.look_up(name, done))
+            self.loader.defer(lambda: self.look_up(name, done))
             return
         number = job_number(name, self._store.secret)
         if number is None:
             done(HTTPStatus.NOT_FOUND)
-        elif number in self.read_back.damaged:
+        elif number in self.loader.damaged:
             done(HTTPStatus.INTERNAL_SERVER_ERROR)
         elif (durable_job := self.index.by_number.get(number)) is not None and durable_job.on_disk:
             done(durable_job)
@@ -335,7 +335,7 @@
     def defer_until_loaded(self, call: Callable[[], None]) -> bool:
         """Defer a call until all open jobs are loaded; False if they are, or during a handover."""
         if not self.loaded and not self.handing_over:
-            self.read_back.defer(call)
+            self.loader.defer(call)
             return True
         return False
 
@@ -349,7 +349,7 @@
         if durable_job.ending is not None:
             return
         durable_job.ending = ending
-        self.read_back.recovery_queue.remove(durable_job)
+        self.loader.recovery_queue.remove(durable_job)
         now = self.loop.now
         collected_at_once = durable_job.waiters and ending.state is JobState.SERVED
         retention = self._options.keep_collected if collected_at_once else self._options.keep_results
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -134,14 +134,14 @@
 
 def test_handover_waits_until_jobs_are_loaded(program):
     """An earlier handover would release a store whose open jobs are not loaded yet."""
-    program.durable.read_back.loaded = False
+    program.durable.loader.loaded = False
     ended = []
     StoreHandover(program.durable, lambda attempt: False, ended.append)
     for _ in range(20):
         advance_clock(program, SEND_TIMEOUT)
         program.loop.turn(idle=False)
     assert not ended and program.durable.writer is not None
-    program.durable.read_back.loaded = True
+    program.durable.loader.loaded = True
     advance_clock(program, SEND_TIMEOUT)
     run_until(program, lambda: ended)
     assert ended == [True] and program.durable.writer is None
