--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -45,7 +45,7 @@
     return io.WorkerList(kind, tuple(entries))
 
 
-def started(config, *workers, seed=1):
+def make_dispatcher(config, *workers, seed=1):
     dispatcher = Dispatcher(config, seed)
     dispatcher.handle(0, [listing(*workers)])
     return dispatcher
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, arrival, listing, only, outcome, serve, settings, started
+from helpers import KEYED, SAFE, UNSAFE, arrival, listing, make_dispatcher, only, outcome, serve, settings
 from world import SETTINGS
 
 from carthinge import interface as io
@@ -27,9 +27,9 @@
 
 
 def test_no_probes_without_benefit():
-    dispatcher = started(settings(may_probe=True, price_probe=0.002, **REPORTING), *range(1, 30))
+    dispatcher = make_dispatcher(settings(may_probe=True, price_probe=0.002, **REPORTING), *range(1, 30))
     serve(dispatcher, 200, 20_000)
-    blocked = started(settings(may_probe=True, price_probe=0.002, **REPORTING), 1)
+    blocked = make_dispatcher(settings(may_probe=True, price_probe=0.002, **REPORTING), 1)
     fill(blocked, 1)
     actions = [
         dispatcher.handle(5_000_000, [arrival(900, now=5_000_000)]),
@@ -43,14 +43,14 @@
 def test_hedge_of_keyed_job_stays_in_cell(window, copies):
     cells = [io.WorkerEntry(worker, cell=(worker + 1) // 2) for worker in (1, 2, 3, 4)]
     for seed in range(8):
-        dispatcher = started(settings(replace(KEYED, window=window)), *cells, seed=seed)
+        dispatcher = make_dispatcher(settings(replace(KEYED, window=window)), *cells, seed=seed)
         first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
         again = [send.worker for send in only(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))]
         assert again == [{1: 2, 2: 1, 3: 4, 4: 3}[first]] * copies
 
 
 def test_unsafe_job_is_not_retried_after_start():
-    dispatcher = started(settings(UNSAFE), 1, 2, 3)
+    dispatcher = make_dispatcher(settings(UNSAFE), 1, 2, 3)
     first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     dispatcher.handle(2, [io.ProgressReport(1, 0, first)])
     again = dispatcher.handle(4_000_000, [io.Timer(0), outcome(1, 0, first, R.CANCELLED)])
@@ -63,7 +63,9 @@
 def test_own_zone_is_preferred_at_equal_load():
     zones = [io.WorkerEntry(n, zone=n % 3) for n in range(1, 10)]
     for zone in range(3):
-        sent = fill(started(settings(zone=zone, price_cross_zone=0.025, weights=io.Weights.ROUGH), *zones), 1)
+        sent = fill(
+            make_dispatcher(settings(zone=zone, price_cross_zone=0.025, weights=io.Weights.ROUGH), *zones), 1
+        )
         assert {worker % 3 for worker in sent[:3]} == {zone} and {worker % 3 for worker in sent} == {0, 1, 2}
 
 
@@ -71,7 +73,7 @@
 @pytest.mark.parametrize(("free", "sends"), [(0.0, 2), (3.0, 3)])
 def test_free_slots_are_read_beside_queue(name, free, sends):
     """With no free slot reported, two are free by the dispatcher's own count, with a third job open."""
-    dispatcher = started(
+    dispatcher = make_dispatcher(
         read_settings(
             SettingsTable.from_nested({**SETTINGS, "load_info": {"how": "inline", "fields": [name, "x0"]}})
         ),
@@ -94,7 +96,7 @@
 
 def test_missing_progress_reports_cause_hedge():
     """It counts as silent after two and a half intervals without a report."""
-    dispatcher = started(settings(LONG, progress=INTERVAL), 1, 2)
+    dispatcher = make_dispatcher(settings(LONG, progress=INTERVAL), 1, 2)
     worker = start_job(dispatcher)
     for at in range(1, 5):
         assert not only(
@@ -105,7 +107,7 @@
 
 
 def test_silent_job_is_hedged_despite_others():
-    dispatcher = started(settings(LONG, progress=INTERVAL), 1)
+    dispatcher = make_dispatcher(settings(LONG, progress=INTERVAL), 1)
     start_job(dispatcher, 1), start_job(dispatcher, 2)
     dispatcher.handle(3, [listing(2, kind=io.Listing.CHANGES)])
     batches = [dispatcher.handle(at * INTERVAL, [io.ProgressReport(2, 0, 1, 0.1 * at)]) for at in range(1, 6)]
@@ -113,20 +115,20 @@
 
 
 def test_silence_is_noticed_before_deadline():
-    dispatcher = started(settings(progress=INTERVAL), 1, 2)
+    dispatcher = make_dispatcher(settings(progress=INTERVAL), 1, 2)
     start_job(dispatcher, timeout=5_000_000)
     assert only(io.Send, dispatcher.handle(4_500_000, [io.Timer(0)]))  # its expected running time is 50 ms
 
 
 def test_unsafe_job_leaves_retry_budget_to_others():
-    dispatcher = started(settings(SAFE, UNSAFE), 1, 2, 3)
+    dispatcher = make_dispatcher(settings(SAFE, UNSAFE), 1, 2, 3)
     dispatcher.handle(1, [arrival(1, job_class=1), arrival(2)])
     assert [send.request for send in only(io.Send, dispatcher.handle(900_000, [io.Timer(0)]))] == [2]
 
 
 @pytest.mark.parametrize(("job_class", "timeout"), [(0, 5_000_000), (1, 25_000_000)])
 def test_each_class_waits_until_its_deadline(job_class, timeout):
-    dispatcher = started(settings(SAFE, LONG, **REPORTING), 1)
+    dispatcher = make_dispatcher(settings(SAFE, LONG, **REPORTING), 1)
     fill(dispatcher, 1)
     dispatcher.fleet.workers[1].avoid_until = 10**9
     grace = dispatcher.context.settings.answer_grace
@@ -137,7 +139,7 @@
 
 def test_fast_failing_worker_is_avoided():
     """Failing fast keeps its reported load low, so it would be selected again and again."""
-    dispatcher = started(settings(**REPORTING), 1, 2, 3)
+    dispatcher = make_dispatcher(settings(**REPORTING), 1, 2, 3)
     sent = []
     for now in range(10_000, 410_000, 10_000):
         worker = only(io.Send, dispatcher.handle(now, [arrival(now, now=now)]))[0].worker
@@ -162,7 +164,7 @@
 def test_retry_waiting_for_cell_does_not_block():
     cells = [io.WorkerEntry(worker, cell=(worker + 1) // 2) for worker in (1, 2, 3, 4)]
     valuable = replace(KEYED, worth=8.0, window=40_000_000)
-    dispatcher = started(settings(valuable, SAFE, may_hedge=False), *cells)
+    dispatcher = make_dispatcher(settings(valuable, SAFE, may_hedge=False), *cells)
     first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     # The only other worker of its cell is excluded.
     dispatcher.fleet.workers[{1: 2, 2: 1, 3: 4, 4: 3}[first]].avoid_until = 10**9
@@ -173,7 +175,7 @@
 def test_worker_with_queued_job_gets_no_more():
     """Others hold its slots: further jobs would queue there, where worth and shares do not apply."""
     for event in (io.ProgressReport(1, 0, 1), outcome(1, 0, 1, R.OK)):
-        dispatcher = started(settings(may_hedge=False, may_cancel=False), 1)
+        dispatcher = make_dispatcher(settings(may_hedge=False, may_cancel=False), 1)
         assert only(io.Send, dispatcher.handle(1, [arrival()]))
         assert only(
             io.Send, dispatcher.handle(2, [arrival(2)])
@@ -188,7 +190,7 @@
 def test_late_job_waits_behind_timely_ones(worth, first):
     """Half its worth is left, so an earlier job goes first only if that is still worth more."""
     valuable = replace(SAFE, worth=worth)
-    dispatcher = started(settings(valuable, SAFE), 1)
+    dispatcher = make_dispatcher(settings(valuable, SAFE), 1)
     sent = fill(dispatcher, 1)
     assert len(sent) == 4
     dispatcher.handle(2, [io.ProgressReport(100 + number, 0, 1) for number in range(4)])
@@ -203,7 +205,7 @@
 
 
 def test_failing_discovery_is_polled_with_delay():
-    dispatcher = started(settings(SAFE, ask_within=0, subscribe=True), 1)
+    dispatcher = make_dispatcher(settings(SAFE, ask_within=0, subscribe=True), 1)
     failed = io.WorkerList(io.Listing.FAILED, ())
     assert not only(io.Watch, dispatcher.handle(1, [failed])) and not only(
         io.Watch, dispatcher.handle(100, [failed])
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -6,7 +6,7 @@
 
 import pytest
 from faults import advance_clock, inject_faults
-from helpers import listing, only, settings, started
+from helpers import listing, make_dispatcher, only, settings
 from hypothesis import given
 from hypothesis import strategies as st
 from in_process import accept_next, read_next, run_until
@@ -61,7 +61,9 @@
 def test_retry_pause_and_timeout_stay_below_limit(failures, instances, ask_within, seed):
     """Guards against a pause that grows with each failure, which reached ten seconds, so that a recovered
     discovery is called too late."""
-    gateway = started(settings(subscribe=True, instances=instances, ask_within=ask_within), 1, seed=seed)
+    gateway = make_dispatcher(
+        settings(subscribe=True, instances=instances, ask_within=ask_within), 1, seed=seed
+    )
     now = 30_000_000
     gateway.handle(now, [])
     for _ in range(failures):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """Decisions that all schedulers make by the same rules: retry_after, load shedding, budgets and backoff."""
 
 import pytest
-from helpers import WORTHLESS_LATE, arrival, only, outcome, settings, started
+from helpers import WORTHLESS_LATE, arrival, make_dispatcher, only, outcome, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -138,7 +138,7 @@
     high = io.JobClass(objective=300_000, deadline=5_000_000, worth=10.0, late_worth=late_worth)
     low = io.JobClass(objective=300_000, deadline=5_000_000, late_worth=late_worth)
     config = settings(high, low, may_hedge=False, progress=10**8, **more)
-    dispatcher = started(config, *range(1, 30))
+    dispatcher = make_dispatcher(config, *range(1, 30))
     running = []
     for number in range(1, 80):
         now = number * 100_000
@@ -191,7 +191,7 @@
 
 
 def test_client_retry_spends_budget():
-    dispatcher = started(settings(WORTHLESS_LATE), 1, 2)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE), 1, 2)
     dispatcher.handle(1, [arrival(1, repeat=True)])
     assert dispatcher.context.retry_budget.spent == 1 and not dispatcher.context.retry_budget.allows()
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -3,7 +3,7 @@
 import sys
 from collections import Counter
 
-from helpers import SAFE, arrival, listing, only, outcome, settings, started
+from helpers import SAFE, arrival, listing, make_dispatcher, only, outcome, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -48,7 +48,7 @@
 
 def dispatcher_with_many_keys(instances=40, seed=1, **more):
     """A dispatcher that has seen many keys, each once."""
-    dispatcher = started(settings(SAFE, instances=instances, **more), *range(1, 61), seed=seed)
+    dispatcher = make_dispatcher(settings(SAFE, instances=instances, **more), *range(1, 61), seed=seed)
     for step in range(400):
         send_and_finish(dispatcher, step * 100_000, 10_000 + step, key=10_000 + step)
     return dispatcher
@@ -64,7 +64,7 @@
 
 
 def test_hot_key_gets_more_workers():
-    dispatcher = started(settings(SAFE, instances=40), *range(1, 61))
+    dispatcher = make_dispatcher(settings(SAFE, instances=40), *range(1, 61))
     for step in range(200):
         send_and_finish(dispatcher, step * 100_000, step, key=7 if step % 5 == 0 else step + 100)
     dispatcher.handle(10**8, [arrival(1000, now=10**8, key=7)])
@@ -98,7 +98,9 @@
     """Without load reports it knows what it has sent there itself."""
     firsts = []
     for position in (0, 20):
-        dispatcher = started(settings(SAFE, instances=40, position=position, tells_start=True), *range(1, 61))
+        dispatcher = make_dispatcher(
+            settings(SAFE, instances=40, position=position, tells_start=True), *range(1, 61)
+        )
         used = {send_and_finish(dispatcher, step * 100_000, step, key=0) for step in range(1, 30)}
         assert len(used) <= 2
         dispatcher.handle(10**7, [arrival(99, now=10**7)])
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import SAFE, UNSAFE, arrival, listing, only, outcome, settings, started
+from helpers import SAFE, UNSAFE, arrival, listing, make_dispatcher, only, outcome, settings
 from in_process import accept_next, read_next, run_until, set_workers
 from world import SETTINGS, Listener, World, job, member
 
@@ -37,7 +37,7 @@
 
 def trained_dispatcher():
     """Return a dispatcher that has served long jobs for a while, some of them late."""
-    dispatcher = started(settings(SAFE, UNSAFE), 1, 2)
+    dispatcher = make_dispatcher(settings(SAFE, UNSAFE), 1, 2)
     for step in range(60):
         now = step * 400_000
         sends = only(io.Send, dispatcher.handle(now, [arrival(step, now=now, hint=900_000)]))
@@ -50,7 +50,7 @@
 
 def test_new_classes_reset_averages():
     """The averages of long jobs made timeouts and slow start wrong for short ones for minutes."""
-    dispatcher, fresh = trained_dispatcher(), started(settings(SHORT, instances=40), 1, 2)
+    dispatcher, fresh = trained_dispatcher(), make_dispatcher(settings(SHORT, instances=40), 1, 2)
     dispatcher.handle(30_000_000, [io.SettingsChange(settings(SHORT, instances=40), [-1], [-1, -1])])
     context, timeouts = dispatcher.context, dispatcher.timeouts
     assert (
@@ -90,7 +90,7 @@
 
 def test_fleet_subset_follows_instance_count():
     many = settings(SAFE, instances=200, position=7, price_connection=0.02)
-    dispatcher = started(settings(SAFE, instances=1, price_connection=0.02), *range(1, 101))
+    dispatcher = make_dispatcher(settings(SAFE, instances=1, price_connection=0.02), *range(1, 101))
     assert len(dispatcher.fleet.subset) == 100
     dispatcher.handle(1, [io.SettingsChange(many, [0], [0, 1])])
     assert len(dispatcher.fleet.subset) < 100
@@ -120,7 +120,7 @@
 
 
 def test_kind_statistics_follow_kind_name():
-    dispatcher = started(settings(SAFE, kinds=2))
+    dispatcher = make_dispatcher(settings(SAFE, kinds=2))
     entries = [io.WorkerEntry(1, kind=0), io.WorkerEntry(2, kind=1)]
     dispatcher.handle(0, [listing(*entries)])
     dispatcher.fleet.kinds[0].slowdown, dispatcher.fleet.kinds[1].slowdown = 3.0, 0.5
@@ -137,7 +137,7 @@
 
 
 def test_returning_worker_may_change_kind():
-    dispatcher = started(settings(SAFE, kinds=2))
+    dispatcher = make_dispatcher(settings(SAFE, kinds=2))
     dispatcher.handle(0, [listing(io.WorkerEntry(1, kind=0), io.WorkerEntry(2, kind=1))])
     dispatcher.handle(1, [listing(io.WorkerEntry(1, kind=1, started=1), kind=io.Listing.CHANGES)])
     workers = dispatcher.fleet.workers
@@ -151,12 +151,12 @@
     """A deployment with the same number of classes was taken for the same one."""
     dispatcher = trained_dispatcher()
     memory = export_memory(dispatcher)
-    swapped = started(settings(UNSAFE, SAFE))
+    swapped = make_dispatcher(settings(UNSAFE, SAFE))
     swapped.handle(30_000_000, [io.Inherit(memory, [1, 0], [1, 0], [0, 1])])
     assert swapped.max_client_waits == [memory.spans[1], memory.spans[0]]
     assert [bucket.level for bucket in swapped.tenants.quotas] == [memory.quotas[1][0], memory.quotas[0][0]]
     assert swapped.context.mean_work == dispatcher.context.mean_work
-    other = started(settings(SHORT, SAFE))
+    other = make_dispatcher(settings(SHORT, SAFE))
     fresh = other.context.mean_work
     other.handle(30_000_000, [io.Inherit(memory, [-1, -1], [-1, -1], [-1, -1])])
     assert other.context.mean_work == fresh and other.max_client_waits == [0, 0]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import SAFE, WORTHLESS_LATE, arrival, listing, only, outcome, settings, started
+from helpers import SAFE, WORTHLESS_LATE, arrival, listing, make_dispatcher, only, outcome, settings
 
 from carthinge import Dispatcher
 from carthinge import interface as io
@@ -13,7 +13,7 @@
 
 
 def test_cost_is_fixed_on_arrival():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     dispatcher.handle(1, [arrival(hint=700, slots=2.0)])
     job = dispatcher.jobs[1]
     dispatcher.fleet.kinds[0].slowdown = 9.0
@@ -32,7 +32,7 @@
 
 
 def test_least_loaded_worker_is_picked():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     first = only(io.Send, dispatcher.handle(1, [arrival(1, hint=900_000)]))[0].worker
     second = only(io.Send, dispatcher.handle(2, [arrival(2)]))[0].worker
     assert {first, second} == {1, 2}
@@ -42,8 +42,8 @@
 
 def test_ineligible_job_refused_busy_one_held():
     config = settings(io.JobClass(objective=100_000, deadline=5_000_000, late_worth=0.5, kind=1))
-    assert only(io.Refuse, started(config, 1).handle(1, [arrival()]))
-    dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
+    assert only(io.Refuse, make_dispatcher(config, 1).handle(1, [arrival()]))
+    dispatcher = make_dispatcher(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     held = dispatcher.handle(3, [arrival(2)])
@@ -51,7 +51,7 @@
 
 
 def test_stale_report_is_ignored():
-    dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
+    dispatcher = make_dispatcher(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     dispatcher.handle(3, [arrival(2)])
@@ -59,7 +59,7 @@
 
 
 def test_held_job_refused_before_client_gives_up():
-    dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
+    dispatcher = make_dispatcher(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     dispatcher.fleet.workers[1].avoid_until = 10**9
@@ -69,7 +69,7 @@
 
 def test_job_worthless_when_late_refused_early():
     config = settings(WORTHLESS_LATE, tells_start=False, may_send_retry_after=True, max_retry_after=2_000_000)
-    dispatcher = started(config, 1)
+    dispatcher = make_dispatcher(config, 1)
     dispatcher.handle(1, [arrival(1, hint=10_000)])
     dispatcher.fleet.workers[1].avoid_until = 10**9
     dispatcher.handle(2, [arrival(2, hint=10_000)])
@@ -77,14 +77,14 @@
 
 
 def test_client_retry_keeps_age_of_first_request():
-    dispatcher = started(settings(WORTHLESS_LATE, tells_start=False), 1)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE, tells_start=False), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     late = io.Arrival(2, 0, 5_000_001, hint=50_000)
     assert only(io.Refuse, dispatcher.handle(2_000_000, [late])) == [io.Refuse(2, 0)]
 
 
 def test_draining_or_gone_worker_gets_no_jobs():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     dispatcher.handle(1, [listing(io.WorkerEntry(1, state=io.State.DRAINING), kind=io.Listing.CHANGES)])
     sends = [only(io.Send, dispatcher.handle(2 + i, [arrival(i)]))[0].worker for i in range(4)]
     assert set(sends) == {2}
@@ -93,7 +93,7 @@
 
 
 def test_held_job_moves_when_worker_leaves():
-    dispatcher = started(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
+    dispatcher = make_dispatcher(settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",)), 1)
     dispatcher.handle(1, [arrival(1)])
     dispatcher.handle(2, [outcome(1, 0, 1, R.OK, report=(0.0,))])
     dispatcher.handle(3, [arrival(2)])
@@ -105,7 +105,7 @@
 
 def test_watch_delayed_at_start_and_retried():
     config = settings(subscribe=True, instances=300, position=200)
-    dispatcher = started(config, 1)
+    dispatcher = make_dispatcher(config, 1)
     due = only(io.SetTimer, dispatcher.handle(1, []))
     assert not only(io.Watch, dispatcher.handle(2, [])) and not due
     assert only(io.Watch, dispatcher.handle(9_000_000, [io.Timer(0)]))
@@ -114,13 +114,13 @@
 
 
 def test_huge_hint_keeps_mean_work():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     dispatcher.handle(1, [arrival(1, hint=10**15)])
     assert dispatcher.context.mean_work < 2 * SAFE.deadline
 
 
 def test_one_long_job_keeps_slowdown_bounded():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     dispatcher.handle(1, [arrival(1, hint=1000)])
     dispatcher.handle(2, [io.ProgressReport(1, 0, 1)])
     dispatcher.handle(4_000_000, [outcome(1, 0, 1, R.OK, 4_000_000)])
@@ -129,7 +129,7 @@
 
 def test_peer_load_counts():
     config = settings(may_send_messages=True, instances=2, price_message=0.01)
-    sender, receiver = started(config, 1, 2), started(config, 1, 2)
+    sender, receiver = make_dispatcher(config, 1, 2), make_dispatcher(config, 1, 2)
     busy = only(io.Send, sender.handle(1, [arrival(1, hint=900_000)]))[0].worker
     messages = only(io.SendMessage, sender.handle(60_000, [io.Timer(0)]))
     receiver.handle(70_000, [io.Message(1, messages[0].body)])
@@ -139,14 +139,16 @@
 def test_schedulers_agree_on_home_of_key():
     config = settings(price_fetch=0.1)
     picks = {
-        only(io.Send, started(config, *range(1, 40), seed=seed).handle(1, [arrival(key=77)]))[0].worker
+        only(io.Send, make_dispatcher(config, *range(1, 40), seed=seed).handle(1, [arrival(key=77)]))[
+            0
+        ].worker
         for seed in range(8)
     }
     assert len(picks) == 1
 
 
 def test_late_and_unknown_ids_ignored():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     dispatcher.handle(2, [outcome(1, 0, sent, R.OK)])
     unknown = [
@@ -164,7 +166,7 @@
 def test_same_events_give_same_actions():
     runs = []
     for _ in range(2):
-        dispatcher = started(settings(), *range(1, 30), seed=5)
+        dispatcher = make_dispatcher(settings(), *range(1, 30), seed=5)
         runs.append([dispatcher.handle(i, [arrival(i)]) for i in range(1, 50)])
     assert runs[0] == runs[1]
 
@@ -182,7 +184,7 @@
 
 def test_slow_fleet_still_gets_jobs():
     """After a slow period all jobs were refused at once, and nothing was learned any more (i4460a8)."""
-    dispatcher = started(settings(WORTHLESS_LATE), 1)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE), 1)
     dispatcher.fleet.kinds[0].slowdown = 50.0
     assert only(io.Send, dispatcher.handle(1, [arrival()]))
 
@@ -191,7 +193,7 @@
     config = {"price_connection": 0.1, "instances": 20}
     schedulers = {worker: 0 for worker in range(1, 101)}
     for position in range(20):
-        dispatcher = started(settings(SAFE, position=position, **config), *schedulers, seed=position)
+        dispatcher = make_dispatcher(settings(SAFE, position=position, **config), *schedulers, seed=position)
         subset = {worker.id for worker in dispatcher.fleet.subset}
         assert len(subset) == 40
         for worker in subset:
@@ -221,7 +223,7 @@
     """Uniform sampling gave small slow workers as many jobs as large fast ones; they queued (split+mass)."""
     sent_by_kind = {0: 0, 1: 0}
     for position in range(200):
-        dispatcher = started(
+        dispatcher = make_dispatcher(
             unseen_load_settings(position=position),
             *(io.WorkerEntry(n, kind=n % 2) for n in range(1, 41)),
             seed=position,
@@ -236,7 +238,7 @@
 
 def test_scheduler_reuses_worker_it_just_freed():
     """Only this scheduler knows of the slot, and the connection is open; 0.97 were opened per job before."""
-    dispatcher = started(unseen_load_settings(price_connection=0.02), *range(1, 101))
+    dispatcher = make_dispatcher(unseen_load_settings(price_connection=0.02), *range(1, 101))
     used = []
     for step in range(40):
         now = 1 + step * 300_000
@@ -248,12 +250,12 @@
 
 def test_huge_ratings_do_not_break_selection():
     entries = [io.WorkerEntry(n, kind=n % 2, rating=1.7e308) for n in range(1, 41)]
-    dispatcher = started(unseen_load_settings(), *entries)
+    dispatcher = make_dispatcher(unseen_load_settings(), *entries)
     assert only(io.Send, dispatcher.handle(1, [arrival()]))
 
 
 def test_worker_after_ineligible_ones_gets_no_surplus():
-    dispatcher = started(settings(), *range(1, 13))
+    dispatcher = make_dispatcher(settings(), *range(1, 13))
     order = dispatcher.fleet.pool(-1)
     for worker in order[:6]:
         worker.avoid_until = 10**9
@@ -269,7 +271,7 @@
 def test_workers_reported_full_are_not_candidates():
     """Each of ten refused attempts of a job examined eight of them, until the CPU limit (iff82b0)."""
     config = settings(reports=io.Reports.PROBES, may_probe=True, report_fields=("free_slots",), instances=40)
-    dispatcher = started(config, *range(1, 60))
+    dispatcher = make_dispatcher(config, *range(1, 60))
     dispatcher.handle(1, [io.ProbeResult(worker, R.OK, 9, (float(worker == 8),)) for worker in range(1, 9)])
     dispatcher.handle(2, [arrival()])
     candidates = dispatcher.selector.candidates(dispatcher.jobs[1], [dispatcher.fleet.workers[50]] * 17, [])
@@ -278,7 +280,7 @@
 
 def dispatcher_with_report(*workers, **more):
     """A dispatcher whose worker 1 has reported two free slots with an earlier result."""
-    dispatcher = started(
+    dispatcher = make_dispatcher(
         settings(reports=io.Reports.ANSWERS, report_fields=("free_slots",), **more), *workers
     )
     dispatcher.handle(1, [arrival(90)])
@@ -305,7 +307,7 @@
 
 @pytest.mark.parametrize("job_class", [SAFE, WORTHLESS_LATE])
 def test_retry_after_is_spread(job_class):
-    dispatcher = started(
+    dispatcher = make_dispatcher(
         settings(job_class, may_send_retry_after=True, max_retry_after=2_000_000, position=3)
     )
     refusals = only(io.Refuse, dispatcher.handle(1, [arrival(number) for number in range(1, 101)]))
@@ -316,7 +318,7 @@
 
 def test_retry_after_follows_drain_time():
     job_class = replace(WORTHLESS_LATE, objective=100_000)
-    dispatcher = started(
+    dispatcher = make_dispatcher(
         settings(job_class, may_send_retry_after=True, max_retry_after=60_000_000, tells_start=False), 1
     )
     for number in range(1, 101):  # two jobs per second of half a second each
@@ -341,7 +343,7 @@
 
 def dispatcher_with_reported_slots():
     """Two workers that have reported three free slots each and run jobs as hinted."""
-    dispatcher = started(REPORTED, 1, 2)
+    dispatcher = make_dispatcher(REPORTED, 1, 2)
     for step in range(40):
         now = step * 100_000
         sends = only(io.Send, dispatcher.handle(now, [arrival(step, now=now)]))
@@ -378,7 +380,7 @@
 
 def test_ended_job_leaves_no_timers():
     """Timers of ended jobs were kept until their deadlines, and the job records with them."""
-    dispatcher = started(settings(tells_start=False), 1, 2)
+    dispatcher = make_dispatcher(settings(tells_start=False), 1, 2)
     for step in range(5000):
         for sent in only(io.Send, dispatcher.handle(step, [arrival(step, now=step)])):
             dispatcher.handle(step, [outcome(step, 0, sent.worker, io.Result.OK)])
@@ -386,7 +388,7 @@
 
 
 def test_abandoned_jobs_are_removed_from_queue():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     for step in range(20):  # more than the worker accepts; cheap jobs stay at the head
         dispatcher.handle(step, [arrival(step, now=step, hint=1_000)])
     for step in range(20, 5000):
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -1,7 +1,18 @@
 """Outcomes of attempts and further ones: retries, hedges and silent attempts."""
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, WORTHLESS_LATE, arrival, only, outcome, serve, settings, started
+from helpers import (
+    KEYED,
+    SAFE,
+    UNSAFE,
+    WORTHLESS_LATE,
+    arrival,
+    make_dispatcher,
+    only,
+    outcome,
+    serve,
+    settings,
+)
 
 from carthinge import interface as io
 
@@ -10,7 +21,7 @@
 
 @pytest.mark.parametrize("result", [R.FULL, R.CONNECT_FAILED, R.NOT_SENT])
 def test_unsafe_job_retried_if_it_never_ran(result):
-    dispatcher = started(settings(UNSAFE), 1, 2)
+    dispatcher = make_dispatcher(settings(UNSAFE), 1, 2)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     again = only(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, result)]))
     assert [action.worker for action in again] == [3 - sent] or (result is R.NOT_SENT and again)
@@ -18,7 +29,7 @@
 
 @pytest.mark.parametrize("result", [R.ERROR, R.TIMEOUT, R.RESET, R.CANCELLED])
 def test_unsafe_job_that_may_have_run_fails(result):
-    dispatcher = started(settings(UNSAFE), 1, 2)
+    dispatcher = make_dispatcher(settings(UNSAFE), 1, 2)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     actions = dispatcher.handle(2, [outcome(1, 0, sent, result)])
     assert (
@@ -29,7 +40,7 @@
 def test_keyed_job_retried_only_in_scope_and_window():
     cells = [io.WorkerEntry(1, cell=1), io.WorkerEntry(2, cell=1), io.WorkerEntry(3, cell=2)]
     for when, sends in ((2, 1), (2_000_000, 0)):
-        dispatcher = started(settings(KEYED, may_hedge=False), *cells)
+        dispatcher = make_dispatcher(settings(KEYED, may_hedge=False), *cells)
         sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
         actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
         if sent == 3:
@@ -39,7 +50,7 @@
 
 
 def test_attempts_end_at_the_limit():
-    dispatcher = started(settings(try_limit=2), 1, 2, 3)
+    dispatcher = make_dispatcher(settings(try_limit=2), 1, 2, 3)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     sent = only(io.Send, dispatcher.handle(2, [outcome(1, 0, sent, R.ERROR)]))[0].worker
     actions = dispatcher.handle(5, [outcome(1, 1, sent, R.ERROR)])
@@ -47,7 +58,7 @@
 
 
 def test_silent_worker_suspected_and_safe_job_hedged():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     copies = only(io.Send, dispatcher.handle(400_000, [io.Timer(0)]))
     assert [copy.worker for copy in copies] == [3 - sent]
@@ -55,7 +66,7 @@
 
 
 def test_responding_worker_is_not_suspected():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     dispatcher.handle(1, [arrival(1), arrival(2)])
     dispatcher.handle(90_000, [io.ProgressReport(2, 0, 1)])
     dispatcher.handle(150_000, [io.Timer(0)])
@@ -63,13 +74,13 @@
 
 
 def test_unsafe_job_is_never_hedged():
-    dispatcher = started(settings(UNSAFE), 1, 2)
+    dispatcher = make_dispatcher(settings(UNSAFE), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
 
 def test_no_hedge_where_settings_forbid_it():
-    dispatcher = started(settings(may_hedge=False), 1, 2)
+    dispatcher = make_dispatcher(settings(may_hedge=False), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not only(io.Send, dispatcher.handle(1_000_000, [io.Timer(0)]))
 
@@ -88,7 +99,7 @@
 
 
 def start_silent_job(healthy):
-    dispatcher = started(settings(may_hedge=False), 1, 2)
+    dispatcher = make_dispatcher(settings(may_hedge=False), 1, 2)
     worker = only(io.Send, dispatcher.handle(1, [arrival(1000, hint=50_000)]))[0].worker
     return dispatcher, worker, time_until_cancelled(dispatcher, 1000, worker, 2, healthy)
 
@@ -120,7 +131,7 @@
 @pytest.mark.parametrize(("when", "again"), [(900_000, [io.Send]), (1_000_001, [io.Fail])])
 def test_keyed_retry_ends_with_window(when, again):
     cell = [io.WorkerEntry(1, cell=4), io.WorkerEntry(2, cell=4)]
-    dispatcher = started(settings(KEYED, may_hedge=False), *cell)
+    dispatcher = make_dispatcher(settings(KEYED, may_hedge=False), *cell)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     actions = dispatcher.handle(when, [outcome(1, 0, sent, R.ERROR)])
     assert [type(action) for action in actions if not isinstance(action, io.SetTimer)] == again
@@ -131,7 +142,7 @@
 
 def test_queued_attempt_hedged_and_cancelled_on_first_start():
     """Selection without load reports left a third of the jobs queued while workers were free (big-2)."""
-    dispatcher = started(settings(WORTHLESS_LATE), 1, 2)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE), 1, 2)
     first = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     copy = only(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
     assert [send.worker for send in copy] == [3 - first]
@@ -141,21 +152,21 @@
 
 @pytest.mark.parametrize("spec", [SAFE, UNSAFE])
 def test_no_hedge_with_late_worth_or_unsafe(spec):
-    dispatcher = started(settings(spec), 1, 2)
+    dispatcher = make_dispatcher(settings(spec), 1, 2)
     dispatcher.handle(1, [arrival()])
     assert not only(io.Send, dispatcher.handle(30_000, [io.Timer(0)]))
 
 
 def test_queued_attempt_cancelled_when_late_and_refused():
     """Under overload every queue was full of jobs whose clients had given up (overload)."""
-    dispatcher = started(settings(WORTHLESS_LATE), 1)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE), 1)
     dispatcher.handle(1, [arrival()])
     assert only(io.Cancel, dispatcher.handle(60_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
     assert only(io.Refuse, dispatcher.handle(60_100, [outcome(1, 0, 1, R.CANCELLED)])) == [io.Refuse(1)]
 
 
 def test_started_attempt_is_not_cancelled():
-    dispatcher = started(settings(WORTHLESS_LATE), 1)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE), 1)
     dispatcher.handle(1, [arrival()])
     dispatcher.handle(2_000, [io.ProgressReport(1, 0, 1)])
     assert not only(io.Cancel, dispatcher.handle(90_000, [io.Timer(0)]))
@@ -163,7 +174,7 @@
 
 def test_queued_attempt_is_not_silent():
     """Workers with a queue were ejected for up to the cold time, and the others took their load."""
-    dispatcher = started(settings(WORTHLESS_LATE, progress=1_000_000), 1, 2)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE, progress=1_000_000), 1, 2)
     sent = only(io.Send, dispatcher.handle(1, [arrival()]))[0].worker
     for now in (30_000, 60_000, 200_000, 900_000):
         dispatcher.handle(now, [io.Timer(0)])
@@ -173,7 +184,7 @@
 
 
 def test_silent_attempt_cancelled_and_retried_elsewhere():
-    dispatcher = started(settings(may_hedge=False), 1, 2, 3, 4)
+    dispatcher = make_dispatcher(settings(may_hedge=False), 1, 2, 3, 4)
     sent = only(io.Send, dispatcher.handle(1, [arrival(1)]))[0]
     assert only(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)])) == [io.Cancel(1, 0)]
     again = only(io.Send, dispatcher.handle(2_000_001, [outcome(1, 0, sent.worker, R.CANCELLED)]))
@@ -182,7 +193,7 @@
 
 @pytest.mark.parametrize(("job_class", "workers"), [(UNSAFE, (1, 2, 3, 4)), (SAFE, (1,))])
 def test_silent_attempt_kept_without_possible_retry(job_class, workers):
-    dispatcher = started(settings(job_class, may_hedge=False), *workers)
+    dispatcher = make_dispatcher(settings(job_class, may_hedge=False), *workers)
     dispatcher.handle(1, [arrival(1)])
     assert not only(io.Cancel, dispatcher.handle(2_000_000, [io.Timer(0)]))
 
@@ -196,7 +207,9 @@
 
     With load reports queues are known, so a silent worker hangs, and most of its jobs are retried.
     """
-    dispatcher = started(settings(SAFE, may_hedge=False, instances=20, reports=reports), *range(1, 31))
+    dispatcher = make_dispatcher(
+        settings(SAFE, may_hedge=False, instances=20, reports=reports), *range(1, 31)
+    )
     serve(dispatcher, served, every=50_000)
     retries = 0
     for step in range(served, 400):
--- a/tests/test_policy_workers.py
+++ b/tests/test_policy_workers.py
@@ -1,6 +1,6 @@
 """Ejected and cold workers, and those excluded by an operator."""
 
-from helpers import SAFE, UNSAFE, arrival, listing, only, outcome, serve, settings, started
+from helpers import SAFE, UNSAFE, arrival, listing, make_dispatcher, only, outcome, serve, settings
 
 from carthinge import interface as io
 
@@ -12,7 +12,7 @@
     config = settings(SAFE, instances=22)
     sent = 0
     for position in range(22):
-        dispatcher = started(config, *range(1, 11), seed=position)
+        dispatcher = make_dispatcher(config, *range(1, 11), seed=position)
         serve(dispatcher, 200, 20_000)
         now = 5_000_000
         dispatcher.handle(now, [listing(io.WorkerEntry(1, started=now), kind=io.Listing.CHANGES)])
@@ -24,7 +24,7 @@
 
 
 def test_refusals_in_a_row_lengthen_ejection():
-    dispatcher = started(settings(try_limit=9), 1)
+    dispatcher = make_dispatcher(settings(try_limit=9), 1)
     pauses = []
     now = 1
     for request in range(3):
@@ -38,7 +38,7 @@
 
 def test_failing_worker_ejected_until_it_serves_again():
     """It was always free and so was selected again and again; reported starts do not clear errors."""
-    dispatcher = started(settings(), 1, 2, 3)
+    dispatcher = make_dispatcher(settings(), 1, 2, 3)
 
     def submit(request, now):
         return only(io.Send, dispatcher.handle(now, [arrival(request, now=now)]))[0].worker
@@ -67,7 +67,7 @@
 
 
 def test_errors_everywhere_eject_no_worker():
-    dispatcher = started(settings(), 1, 2, 3, 4)
+    dispatcher = make_dispatcher(settings(), 1, 2, 3, 4)
     for request in range(40):
         sent = only(io.Send, dispatcher.handle(request, [arrival(request)]))
         dispatcher.handle(request, [outcome(request, 0, sent[0].worker, R.ERROR), io.Abandoned(request)])
@@ -76,7 +76,7 @@
 
 def test_all_unreachable_workers_are_ejected():
     """With half of a fleet gone, schedulers went on connecting to it (harborlight i0837f8)."""
-    dispatcher = started(settings(try_limit=20), *range(1, 11))
+    dispatcher = make_dispatcher(settings(try_limit=20), *range(1, 11))
     actions = dispatcher.handle(1, [arrival()])
     attempt = 0
     while sends := only(io.Send, actions):
@@ -88,7 +88,7 @@
 
 def test_cold_worker_outside_subset_has_no_allowance():
     config = settings(SAFE, price_connection=0.1, instances=40)
-    dispatcher = started(config, *range(1, 101))
+    dispatcher = make_dispatcher(config, *range(1, 101))
     outside = next(worker for worker in dispatcher.fleet.workers.values() if not worker.in_subset)
     outside.started = 1
     dispatcher.context.served_rate.per_s = 1e9
@@ -98,7 +98,7 @@
 
 def test_single_cold_worker_limited_by_served_rate():
     """A rate in the wrong unit allowed all jobs (colombo rough-2, failback)."""
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     serve(dispatcher, 200, 20_000)
     dispatcher.fleet.kinds[0].slowdown = dispatcher.fleet.workers[1].pace = 1.0  # jobs run as long as hinted
     now = 4_000_000
@@ -128,7 +128,7 @@
 
 
 def test_excluded_worker_gets_no_jobs_when_listed():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     dispatcher.handle(1, [io.OperatorExclusion(1, True)])
     restarted = listing(io.WorkerEntry(1, started=5), 2, kind=io.Listing.WHOLE)
     for now, event in enumerate([listing(1, kind=io.Listing.CHANGES), restarted], 10):
@@ -140,13 +140,13 @@
 
 
 def test_exclusion_applies_to_same_batch():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     assert not only(io.Send, dispatcher.handle(1, [arrival(1, now=1), io.OperatorExclusion(1, True)]))
 
 
 def test_readmitted_worker_is_cold_with_new_record():
     """Discovery lists the restart late; the earlier start time would allow the load of a warm worker."""
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     serve(dispatcher, 400, 20_000)
     now = 8_000_000
     dispatcher.fleet.workers[1].avoid_until, dispatcher.fleet.workers[1].outstanding_slots = now + 10**9, 50.0
@@ -168,7 +168,7 @@
 
 
 def test_earlier_attempt_not_counted_after_readmission():
-    dispatcher = started(settings(), 1)
+    dispatcher = make_dispatcher(settings(), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
         dispatcher.handle(2, [io.OperatorExclusion(1, out)])
@@ -178,7 +178,7 @@
 
 
 def test_unsafe_job_not_retried_at_readmitted_worker():
-    dispatcher = started(settings(UNSAFE, try_limit=3, cold_time=0), 1)
+    dispatcher = make_dispatcher(settings(UNSAFE, try_limit=3, cold_time=0), 1)
     dispatcher.handle(1, [arrival(1, now=1)])
     for out in (True, False):
         dispatcher.handle(2, [io.OperatorExclusion(1, out)])
@@ -188,7 +188,7 @@
 def test_readmitted_worker_loaded_within_slot_capacity():
     """The mean rate of served work is low while jobs wait; the readmitted worker stayed idle."""
     config = settings(may_hedge=False, reports=io.Reports.ANSWERS, report_fields=("free_slots",))
-    dispatcher = started(config, 1, 2)
+    dispatcher = make_dispatcher(config, 1, 2)
     for step in range(40):
         sends = only(io.Send, dispatcher.handle(step * 20_000, [arrival(step, now=step * 20_000)]))
         dispatcher.handle(
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from helpers import SAFE, UNSAFE, arrival, only, outcome, settings, started
+from helpers import SAFE, UNSAFE, arrival, make_dispatcher, only, outcome, settings
 from world import SETTINGS, World, job, serve_next
 
 from carthinge import interface as io
@@ -136,7 +136,7 @@
 
 def test_waiting_job_keeps_class_and_deficit():
     old = settings(SAFE, UNSAFE, tenants=(io.Tenant(0.5), io.Tenant(0.3), io.Tenant(0.2)), may_hedge=False)
-    dispatcher = started(old, 1, 2)
+    dispatcher = make_dispatcher(old, 1, 2)
     ring = dispatcher.tenants.ring
     first, second, third = ring.queues
     second.deficit = 7.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,7 +2,7 @@
 
 import math
 
-from helpers import SAFE, WORTHLESS_LATE, arrival, listing, only, outcome, settings, started
+from helpers import SAFE, WORTHLESS_LATE, arrival, listing, make_dispatcher, only, outcome, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -29,7 +29,7 @@
 
 
 def test_cold_runs_do_not_change_learned_slowdown():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     dispatcher.handle(
         NOW, [listing(io.WorkerEntry(2, state=io.State.GONE), kind=io.Listing.CHANGES), cold_listing(1)]
     )
@@ -45,7 +45,7 @@
 
 
 def test_cold_worker_has_higher_slowdown():
-    dispatcher = started(settings(), 1, 2)
+    dispatcher = make_dispatcher(settings(), 1, 2)
     dispatcher.handle(NOW, [cold_listing(1)])
     actions = dispatcher.handle(NOW, [arrival(7, now=NOW, hint=60_000)])
     assert [send.worker for send in only(io.Send, actions)] == [2]
@@ -56,7 +56,7 @@
 
 def test_cold_worker_with_allowance_is_a_candidate():
     """A sample holds few of so many workers, and an allowance not used in its window was lost."""
-    dispatcher = started(settings(), *range(1, 301))
+    dispatcher = make_dispatcher(settings(), *range(1, 301))
     dispatcher.context.warm_worker_rate.per_s = 1e9
     dispatcher.handle(NOW, [cold_listing(300)])
     for worker in dispatcher.fleet.pool(-1):
@@ -70,7 +70,7 @@
     config = settings(SAFE, instances=50)
     sent = dict.fromkeys(range(1, 6), 0)
     for position in range(50):
-        dispatcher = started(config, *range(1, 6), seed=position)
+        dispatcher = make_dispatcher(config, *range(1, 6), seed=position)
         dispatcher.handle(NOW, [cold_listing(*sent)])
         for step in range(40):  # one window, more than two hundred jobs for each worker
             now = NOW + step * 50_000
@@ -84,7 +84,7 @@
 
 def test_shed_job_goes_to_free_cold_worker():
     """Half of the jobs were refused while half of the fleet was cold and idle (genova-sala, upgrades)."""
-    dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
     context = dispatcher.context
     context.warm_worker_rate.per_s = 1e5  # two jobs per second at a warm worker
     dispatcher.handle(NOW, [cold_listing(2)])
@@ -107,7 +107,7 @@
 
 
 def test_immediate_only_job_refused_when_worker_busy():
-    dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
+    dispatcher = make_dispatcher(settings(WORTHLESS_LATE, reports=io.Reports.OFF), 1, 2)
     dispatcher.handle(NOW, [cold_listing(2)])
     dispatcher.context.shedding_level.waiting = 50
     for step in range(8):
@@ -125,7 +125,7 @@
     """Its allowance is lost with its window, and a wait not yet seen was assumed to be short."""
 
     def sent_to(shedding):
-        dispatcher = started(settings(WORTHLESS_LATE, reports=io.Reports.OFF), *range(1, 4))
+        dispatcher = make_dispatcher(settings(WORTHLESS_LATE, reports=io.Reports.OFF), *range(1, 4))
         dispatcher.handle(NOW, [cold_listing(3)])
         dispatcher.slow_start.workers_with_allowance()
         dispatcher.fleet.workers[3].cold_left = 1e6
@@ -142,7 +142,7 @@
 
 
 def test_zero_cold_share_does_not_fail():
-    dispatcher = started(settings(cold_start_share=0.0), 1, 2)
+    dispatcher = make_dispatcher(settings(cold_start_share=0.0), 1, 2)
     dispatcher.handle(NOW, [cold_listing(1, 2)])
     assert dispatcher.handle(NOW, [arrival(1, now=NOW)]) is not None
     assert dispatcher.context.slowdown(dispatcher.fleet.workers[1]) > 1
