--- a/tests/durable_world.py
+++ b/tests/durable_world.py
@@ -54,7 +54,7 @@
     return number, headers["req-id"], token
 
 
-def locked(world):
+def lock_store(world):
     """Hold a write transaction on the store, so that its commits fail as on a blocked disk."""
     database = sqlite3.connect(world.store / "jobs.db", isolation_level=None)
     database.execute("BEGIN IMMEDIATE")
--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from durable_world import FILE, locked, put
+from durable_world import FILE, lock_store, put
 from world import SETTINGS, World
 
 from carthinge.net.load import read_load
@@ -58,7 +58,7 @@
 
 def test_durable_job_shed_before_client_timeout(tmp_path):
     with World(tmp_path, workers=2, file=FILE) as world:
-        stuck = locked(world)
+        stuck = lock_store(world)
         put(world, "a0", prefer=None)  # a job with a later deadline does not delay it
         began = time.monotonic()
         first, _, _ = world.submit("a1", kind="reindex", deadline="400m", Prefer="respond-async").read()
--- a/tests/test_durable_disk.py
+++ b/tests/test_durable_disk.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from durable_world import FILE, accept, get, locked, put
+from durable_world import FILE, accept, get, lock_store, put
 from world import HOST, World, free_port, job
 
 OPERATOR_FILE = FILE  # of the fixture `world`
@@ -70,7 +70,7 @@
 
 
 def test_blocked_disk_sheds_only_durable_jobs(world):
-    blocker = locked(world)
+    blocker = lock_store(world)
     began = time.monotonic()
     first, headers, _ = put(world, "a1", prefer=None).read()
     assert first.split()[1] == "503" and "retry-after" in headers and time.monotonic() - began < 1.5
@@ -95,7 +95,7 @@
 def test_crash_before_result_is_recorded_accepts_callback_again(world):
     path = put(world, "a1")
     number, req_id, token = accept(world)
-    blocker = locked(world)
+    blocker = lock_store(world)
     body = json.dumps(
         {"id": req_id, "from": world.names[number], "state": "done", "result": "r", "token": token}
     ).encode()
@@ -115,7 +115,7 @@
 def test_blocked_disk_does_not_delay_result_past_deadline(world):
     client = put(world, "a1", prefer=None, deadline="1500m")
     number, req_id, _ = accept(world, takes_part=False)
-    blocker = locked(world)
+    blocker = lock_store(world)
     began = time.monotonic()
     body = json.dumps({"id": req_id, "from": world.names[number], "state": "done", "result": "r"}).encode()
     world.connect().send(
