--- a/tests/test_derived_timeouts.py
+++ b/tests/test_derived_timeouts.py
@@ -143,7 +143,7 @@
 
 def test_handover_waits_for_all_attempts(tmp_path):
     settings = site({"second_copies": True, "try_limit": 2})
-    with World(tmp_path, workers=2, settings=settings, held=True) as world:
+    with World(tmp_path, workers=2, settings=settings, inherited_socket=True) as world:
         client, first, second, peer = submit_hedged(world)
         world.upgrade()
         peer.answer(503, Srv_Declined="1")  # only the process that has sent it receives this
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -171,7 +171,7 @@
 
 
 def test_successor_requests_agent_list(tmp_path):
-    with World(tmp_path, workers=2, settings=pushed(4_000_000), held=True) as world:
+    with World(tmp_path, workers=2, settings=pushed(4_000_000), inherited_socket=True) as world:
         old = world.accept_watch()[0]
         world.upgrade()
         peer, line = world.accept_watch()
--- a/tests/test_durable_handover.py
+++ b/tests/test_durable_handover.py
@@ -115,7 +115,7 @@
 
 def test_half_read_request_at_handover_is_answered_once(tmp_path):
     """The first half came before the handover, the second to a process without the store."""
-    with World(tmp_path, workers=1, file=FILE, held=True) as world:
+    with World(tmp_path, workers=1, file=FILE, inherited_socket=True) as world:
         text = job("a1", **ASYNC)
         client = world.connect().send(text[:90])
         world.counters()  # the first half has been read by then
@@ -148,7 +148,7 @@
 
 
 def test_upgrade_after_crash_keeps_open_jobs(tmp_path):
-    with World(tmp_path, workers=1, file=FILE, held=True) as world:
+    with World(tmp_path, workers=1, file=FILE, inherited_socket=True) as world:
         names = [put(world, f"a{number}", key=f"k{number}") for number in range(40)]
         world.kill()
         world.process = world.start()
--- a/tests/test_durable_upgrades.py
+++ b/tests/test_durable_upgrades.py
@@ -20,7 +20,7 @@
 @pytest.fixture
 def world(tmp_path):
     file, settings = FILE.replace("0.4", "9"), {**SETTINGS, "services": PATIENT_SERVICES}
-    with World(tmp_path, workers=2, settings=settings, file=file, held=True) as running:
+    with World(tmp_path, workers=2, settings=settings, file=file, inherited_socket=True) as running:
         yield running
 
 
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -185,7 +185,7 @@
 
 
 def test_upgrade_keeps_member_alive(tmp_path):
-    with fleet(tmp_path, Relay(2), held=True) as worlds:
+    with fleet(tmp_path, Relay(2), inherited_socket=True) as worlds:
         predecessor, _ = worlds[0].upgrade()
         predecessor.send_signal(signal.SIGTERM)
         predecessor.wait()
--- a/tests/test_half_sent_requests.py
+++ b/tests/test_half_sent_requests.py
@@ -97,7 +97,7 @@
 
 
 def test_silent_client_keeps_timeout_across_upgrade(tmp_path):
-    with World(tmp_path, held=True) as world:
+    with World(tmp_path, inherited_socket=True) as world:
         clients = [StoppedClient(world, part) for part in (b"", HEAD)]
         time.sleep(1.2)  # a part of its timeout passes before the upgrade
         old, _ = world.upgrade()
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -164,7 +164,7 @@
 
 
 def test_upgrade_with_reordered_machine_kinds(tmp_path):
-    with World(tmp_path, workers=2, settings=MACHINES, held=True) as world:
+    with World(tmp_path, workers=2, settings=MACHINES, inherited_socket=True) as world:
         peer, _ = world.accept_watch()
         ports = [worker.port for worker in world.workers]
         members = [member_of_kind("s-0", ports[0], "plain"), member_of_kind("s-1", ports[1], "press")]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def world(tmp_path):
-    with World(tmp_path, workers=2, settings=NO_SLOW_START, held=True) as started:
+    with World(tmp_path, workers=2, settings=NO_SLOW_START, inherited_socket=True) as started:
         yield started
 
 
@@ -141,7 +141,7 @@
 
 
 def test_queued_job_sent_by_new_process(tmp_path):
-    with World(tmp_path, workers=1, settings=NO_SLOW_START, held=True) as world:
+    with World(tmp_path, workers=1, settings=NO_SLOW_START, inherited_socket=True) as world:
         held = hold_jobs(world, 4)  # as many as an unknown worker gets
         waiting = world.submit("waiting", deadline="9000m")
         world.counters()  # the request is read
@@ -185,7 +185,9 @@
 def test_upgrades_under_load_lose_no_jobs(tmp_path):
     """Clients on kept and on new connections, served by stub workers, through two upgrades."""
     lenient = [{**SETTINGS["services"][0], "objective": 5_000_000}]  # a stub that is slow once stays healthy
-    with World(tmp_path, workers=2, settings={**NO_SLOW_START, "services": lenient}, held=True) as world:
+    with World(
+        tmp_path, workers=2, settings={**NO_SLOW_START, "services": lenient}, inherited_socket=True
+    ) as world:
         run_clients_during_upgrades(world)
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -134,17 +134,19 @@
         sockets=1024,
         known=True,
         extra_ports=(),
-        held=False,
+        inherited_socket=False,
         file=None,
         name="n0",
     ):
         """Start the stubs and the scheduler.
 
-        ``held``: the scheduler inherits a listening socket, as from a platform that upgrades it.
+        ``inherited_socket``: the scheduler inherits a listening socket, as from a platform that upgrades it.
         ``file``: the text of the operator's file; ``{folder}`` in it stands for the store's folder.
         """
         self.port, self.operator = free_ports(2)
-        self.listening_socket = socket.create_server((HOST, self.port), backlog=1024) if held else None
+        self.listening_socket = (
+            socket.create_server((HOST, self.port), backlog=1024) if inherited_socket else None
+        )
         self.discovery = Listener()
         self.workers = [Listener() for _ in range(workers)]
         self.names = [f"s-{number}" for number in range(workers)]
