--- a/carthinge/net/config.py
+++ b/carthinge/net/config.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from carthinge.net.http import Address
-from carthinge.net.members import Listed
+from carthinge.net.members import MemberList
 from carthinge.operator_file import FileError, Options, check_classes, read
 from carthinge.settings import SettingsTable, Site, key_paths, read_site
 
@@ -37,7 +37,7 @@
     settings: dict[str, Any]
     operator: str | None = None
     limits: Limits = Limits()
-    known: Listed = Listed()
+    known: MemberList = MemberList()
 
 
 _FILE_DECODER: Final[msgspec.json.Decoder[_File]] = msgspec.json.Decoder(_File)
@@ -54,7 +54,7 @@
     discovery: Address
     seed: int
     limits: Limits
-    known: Listed
+    known: MemberList
     site: Site
     setting_keys: frozenset[str]  #: the keys that are present in the settings
     options: Options  #: from the operator's file
--- a/carthinge/net/discovery.py
+++ b/carthinge/net/discovery.py
@@ -16,7 +16,7 @@
 from carthinge.net.counters import Counters
 from carthinge.net.http import Address, Answer, encode_request
 from carthinge.net.loop import MILLISECOND, Loop, Timer
-from carthinge.net.members import Listed
+from carthinge.net.members import MemberList
 from carthinge.net.outgoing_connection import OutgoingConnection
 from carthinge.net.worker_directory import WorkerDirectory
 from carthinge.settings import Site
@@ -38,7 +38,7 @@
 AGENT_WAIT_FRACTION: Final = 0.25  # of the drain grace: wait of a call to an agent, and its margin
 MIN_AGENT_WAIT: Final = timedelta(milliseconds=20)  # avoids a busy loop if the grace is very short
 
-_LIST_DECODER: Final[msgspec.json.Decoder[Listed]] = msgspec.json.Decoder(Listed)
+_LIST_DECODER: Final[msgspec.json.Decoder[MemberList]] = msgspec.json.Decoder(MemberList)
 
 
 @dataclass(frozen=True, slots=True)
--- a/carthinge/net/members.py
+++ b/carthinge/net/members.py
@@ -20,7 +20,7 @@
     up_since_ms: int = 0
 
 
-class Listed(msgspec.Struct, frozen=True):
+class MemberList(msgspec.Struct, frozen=True):
     """The complete list, or the changes since a revision."""
 
     revision: int = 0
--- a/carthinge/net/worker_directory.py
+++ b/carthinge/net/worker_directory.py
@@ -13,7 +13,7 @@
 from carthinge.net.clock import Clock
 from carthinge.net.http import Address
 from carthinge.net.loop import MICROSECOND
-from carthinge.net.members import Listed, Member
+from carthinge.net.members import Member, MemberList
 from carthinge.settings import Site
 
 STATE_BY_PHASE: Final = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
@@ -69,7 +69,7 @@
         self._set_positions(site)
         return WorkerList(Listing.WHOLE, self._entries())
 
-    def apply_list(self, listed: Listed, listing: Listing) -> WorkerList:
+    def apply_list(self, listed: MemberList, listing: Listing) -> WorkerList:
         """Store a list from discovery and convert it for the decision module.
 
         It is parsed as a whole first: if a part of an invalid list were stored, the rest would never be
--- a/tests/in_process.py
+++ b/tests/in_process.py
@@ -7,7 +7,7 @@
 from faults import advance_clock
 
 from carthinge.interface import Listing
-from carthinge.net.members import Listed, Member
+from carthinge.net.members import Member, MemberList
 
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 WAIT = 10  # seconds; no expected event in these tests takes nearly as long
@@ -28,7 +28,7 @@
 
 def set_workers(program, *members):
     """Give the program a complete list of workers, as discovery would."""
-    listed = Listed(revision=99, members=[Member(**fields) for fields in members])
+    listed = MemberList(revision=99, members=[Member(**fields) for fields in members])
     program.watch._on_update(program.directory.apply_list(listed, Listing.WHOLE))
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 from carthinge.interface import Listing
 from carthinge.net.clock import MAX_PERIODS, MIN_STEP, Clock
 from carthinge.net.loop import MICROSECOND
-from carthinge.net.members import Listed, Member
+from carthinge.net.members import Member, MemberList
 from carthinge.net.worker_directory import WorkerDirectory, worker_number
 from carthinge.settings import SettingsTable, read_site
 
@@ -104,14 +104,14 @@
     clock = Clock()
     directory = WorkerDirectory(read_site(SettingsTable.from_nested(SETTINGS)), clock)
     machine.advance(30 * S)
-    listed = Listed(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
+    listed = MemberList(revision=1, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
     (first,) = directory.apply_list(listed, Listing.WHOLE).entries
     machine.advance(4 * S)
     machine.step(step)
     clock.check_for_step(clock.now())
     (again,) = directory.apply_list(listed, Listing.WHOLE).entries
     assert again.started == first.started == (clock.now() - 4 * S) // MICROSECOND
-    relisted = Listed(revision=2, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
+    relisted = MemberList(revision=2, members=[Member(**member("s-0", 1, up_since_ms=machine.wall_ms()))])
     (restarted,) = directory.apply_list(relisted, Listing.WHOLE).entries
     assert restarted.started == clock.now() // MICROSECOND
 
