--- a/carthinge/front/connection.py
+++ b/carthinge/front/connection.py
@@ -276,7 +276,7 @@
             frontend.counters.taken += 1
             frontend.counters.shed += 1
             frontend.counters.shed_for_room += 1
-            frontend.tracker.ended.refused[terms.class_name] += 1
+            frontend.tracker.outcome_counts.refused[terms.class_name] += 1
             jitter = mix(frontend.counters.shed_for_room)  # when slots become free cannot be predicted
             retry_after = (
                 compute_retry_after(inf, 0, frontend.max_retry_after // MICROSECOND, jitter) * MICROSECOND
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -41,7 +41,7 @@
         self.tracked_requests: dict[int, TrackedRequest] = {}
         self.by_id: dict[str, TrackedRequest] = {}
         self.events: list[io.Event] = []
-        self.ended = OutcomeCounts()
+        self.outcome_counts = OutcomeCounts()
         self.invariants = Invariants(counters, lambda: dispatcher.context.settings.may_hedge)
         self._loop = loop
         self._dispatcher = dispatcher
@@ -252,7 +252,7 @@
     def _serve(self, tracked: TrackedRequest, result: bytes) -> None:
         tracked.mark_answered("served")
         self._counters.served += 1
-        self.ended.served[tracked.class_name] += 1
+        self.outcome_counts.served[tracked.class_name] += 1
         tracked.client.serve(result)
 
     def reject(self, attempt: Attempt, why: str) -> None:
@@ -374,12 +374,12 @@
     def _count_refused(self, tracked: TrackedRequest, why: str) -> None:
         tracked.mark_answered("refused", why)
         self._counters.shed += 1
-        self.ended.refused[tracked.class_name] += 1
+        self.outcome_counts.refused[tracked.class_name] += 1
 
     def _count_failed(self, tracked: TrackedRequest, why: str) -> None:
         tracked.mark_answered("failed", why)
         self._counters.failed += 1
-        self.ended.failed[tracked.class_name] += 1
+        self.outcome_counts.failed[tracked.class_name] += 1
 
     def _set_timer(self, action: io.SetTimer) -> None:
         """Replace the timer: the dispatcher sets it anew after each wake-up."""
--- a/carthinge/scheduler/program.py
+++ b/carthinge/scheduler/program.py
@@ -62,7 +62,7 @@
         self.directory = WorkerDirectory(config.site, self.loop.clock)
         self.dispatcher = Dispatcher(config.site.dispatcher_settings, config.seed)
         self.tracker = RequestTracker(self.loop, self.dispatcher, self.directory.targets, self.counters)
-        self.tracker.ended.add_classes(config.site.classes)
+        self.tracker.outcome_counts.add_classes(config.site.classes)
         descriptors = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         available = max(16, descriptors - RESERVED_SOCKETS - (MAX_CONNECTIONS if config.operator else 0))
         outgoing = int(available * WORKER_CONNECTIONS_SHARE)
@@ -261,7 +261,7 @@
 
     def metrics(self) -> dict[str, Any]:
         """Return the values for ``/metrics``."""
-        ended, counters, fleet = self.tracker.ended, self.counters, self.dispatcher.fleet
+        ended, counters, fleet = self.tracker.outcome_counts, self.counters, self.dispatcher.fleet
         return {
             "served": ended.served,
             "refused": ended.refused,
@@ -344,7 +344,7 @@
         )
         if (site.zones, site.kinds) != (before.zones, before.kinds):
             self.tracker.emit(self.directory.retune(site))
-        self.tracker.ended.add_classes(site.classes)
+        self.tracker.outcome_counts.add_classes(site.classes)
         self.frontend.retune(site)
         self.worker_client.retune(site)
         if self.fleet is not None:
