--- a/carthinge/durable/jobs.py
+++ b/carthinge/durable/jobs.py
@@ -127,7 +127,7 @@
             for waiter in durable_job.waiters:
                 waiter.handed_over(durable_job.accepted.number)
             if durable_job.tracked is not None:
-                self._tracker.give_away(durable_job.tracked)
+                self._tracker.hand_over(durable_job.tracked)
             self.index.remove(durable_job)
             self.loader.recovery_queue.remove(durable_job)
         self.attempt_leases.clear()
--- a/carthinge/net/request_tracker.py
+++ b/carthinge/net/request_tracker.py
@@ -129,7 +129,7 @@
             terms.repeat,
         )
 
-    def give_away(self, tracked: TrackedRequest) -> None:
+    def hand_over(self, tracked: TrackedRequest) -> None:
         """Stop tracking a request that another process took over, with its client and its open attempt."""
         if tracked.pending:
             tracked.mark_client_gone("given_away")
--- a/carthinge/scheduler/handover_peer.py
+++ b/carthinge/scheduler/handover_peer.py
@@ -241,5 +241,5 @@
             attempts,
             job_memory(self._dispatcher, tracked.number),
         )
-        self._tracker.give_away(tracked)
+        self._tracker.hand_over(tracked)
         self._upgrade.hand_over_open(client.release(), request)
