--- a/carthinge/front/frontend.py
+++ b/carthinge/front/frontend.py
@@ -193,7 +193,7 @@
         connection.close(CloseReason.SLOT_NEEDED)
         return None
 
-    def enter(self, sock: socket.socket, since: timedelta) -> None:
+    def connection_accepted(self, sock: socket.socket, since: timedelta) -> None:
         """Add an accepted connection."""
         self.counters.connections_in += 1
         self._add_connection(sock, since)
--- a/carthinge/front/operator.py
+++ b/carthinge/front/operator.py
@@ -74,7 +74,7 @@
             next(iter(self.connections)).close()
         return None
 
-    def enter(self, sock: socket.socket, since: timedelta) -> None:
+    def connection_accepted(self, sock: socket.socket, since: timedelta) -> None:
         """Add an accepted connection."""
         self.connections[_Connection(self, sock)] = None
 
--- a/carthinge/net/listener.py
+++ b/carthinge/net/listener.py
@@ -26,7 +26,7 @@
     def make_room(self) -> str | None:
         """Make room for one connection; return the reason if that is impossible, else None."""
 
-    def enter(self, sock: socket.socket, since: timedelta) -> None:
+    def connection_accepted(self, sock: socket.socket, since: timedelta) -> None:
         """Take over an accepted connection, which may have waited in the backlog since ``since``."""
 
     def accept_paused(self, why: str) -> None:
@@ -112,7 +112,7 @@
 
     def _enter(self, sock: socket.socket) -> None:
         try:
-            self._owner.enter(sock, self._since)
+            self._owner.connection_accepted(sock, self._since)
         except OSError:  # already reset, or the selector is full
             self._loop.sockets.close(sock)
 
