--- a/carthinge/net/read_timeouts.py
+++ b/carthinge/net/read_timeouts.py
@@ -13,9 +13,8 @@
 
 STOPPED_CLIENT_LIMIT: Final = timedelta(seconds=3)  # operators' acceptance rule: an error or a close
 READ_TIMEOUT_MARGIN: Final = timedelta(milliseconds=500)  # for delays of the scheduler and the response
-READ_TIMEOUT: Final = (
-    STOPPED_CLIENT_LIMIT - READ_TIMEOUT_MARGIN
-)  # from the start of a request to its last byte
+#: From the start of a request to its last byte.
+READ_TIMEOUT: Final = STOPPED_CLIENT_LIMIT - READ_TIMEOUT_MARGIN
 MAX_PART_INTERVAL: Final = timedelta(seconds=1)  # between parts of a request that takes longer
 MAX_REQUEST_DURATION: Final = timedelta(seconds=10)  # even if its parts keep arriving
 MIN_READ_TIME: Final = timedelta(milliseconds=250)  # minimum time after a late first read or accept
