--- a/carthinge/net/outgoing_connection.py
+++ b/carthinge/net/outgoing_connection.py
@@ -38,7 +38,7 @@
         """Called when there will be no answer; ``written`` if the whole request was written."""
 
 
-class ConnectionState(Enum):
+class OutgoingConnectionState(Enum):
     """Life cycle of an outgoing connection; states only move forward."""
 
     NEW = 1
@@ -63,7 +63,7 @@
     stall_timeout: timedelta | None = None  # between two parts of an answer
     may_open: Callable[[], bool] = _unlimited  # whether the pool has room for this connection
     call: Call | None = None
-    state: ConnectionState = ConnectionState.NEW
+    state: OutgoingConnectionState = OutgoingConnectionState.NEW
     local_shortage: bool = False  # no connect was attempted: no local resources or no room in the pool
     _stream: Stream | None = None
     _reader: AnswerReader = field(init=False)
@@ -75,7 +75,7 @@
 
     def open(self) -> None:
         """Start to connect; the call is notified of the outcome from the event loop, never from here."""
-        self.state = ConnectionState.WAITING
+        self.state = OutgoingConnectionState.WAITING
         self._timer = self.loop.call_after(self.connect_timeout, self._check_connected)
         self._connect()
 
@@ -99,31 +99,31 @@
             why = str(error)
             self.loop.call_soon(lambda: self._break(why))
             return
-        self.state = ConnectionState.CONNECTING
+        self.state = OutgoingConnectionState.CONNECTING
 
     def adopt(self, sock: socket.socket) -> None:
         """Take over an idle connection that another process opened."""
         self._stream = Stream(self.loop, sock, self)
-        self.state = ConnectionState.UP
+        self.state = OutgoingConnectionState.UP
 
     def release(self) -> socket.socket:
         """Give up an idle connection and return its socket, still connected."""
-        assert self.call is None and self._stream is not None and self.state is ConnectionState.UP
+        assert self.call is None and self._stream is not None and self.state is OutgoingConnectionState.UP
         self._cancel_timers()
-        self.state = ConnectionState.CLOSED
+        self.state = OutgoingConnectionState.CLOSED
         return self._stream.release()
 
     def start(self, call: Call) -> None:
         """Start a call; its request is asked for once the connection is up."""
         assert self.call is None
         self.call = call
-        if self.state is ConnectionState.UP:
+        if self.state is OutgoingConnectionState.UP:
             self._write_request()
 
     def usable(self) -> bool:
         """Whether it can carry a call: idle, and not closed by the peer."""
         return (
-            self.state is ConnectionState.UP
+            self.state is OutgoingConnectionState.UP
             and self.call is None
             and self._stream is not None
             and self._stream.input_empty()
@@ -132,7 +132,7 @@
     def close(self) -> None:
         """Close the connection without notifying the call."""
         self.call = None
-        self.state = ConnectionState.CLOSED
+        self.state = OutgoingConnectionState.CLOSED
         self._cancel_timers()
         if self._stream is not None:
             self._stream.close()
@@ -145,18 +145,22 @@
     @property
     def connecting(self) -> bool:
         """Whether it is not connected yet, so that nothing of a call has been sent."""
-        return self.state in (ConnectionState.NEW, ConnectionState.WAITING, ConnectionState.CONNECTING)
+        return self.state in (
+            OutgoingConnectionState.NEW,
+            OutgoingConnectionState.WAITING,
+            OutgoingConnectionState.CONNECTING,
+        )
 
     @property
     def closed(self) -> bool:
         """Whether the connection is closed."""
-        return self.state is ConnectionState.CLOSED
+        return self.state is OutgoingConnectionState.CLOSED
 
     # ---- the stream -----------------------------------------------------------------------
 
     def connected(self) -> None:
         """Write the request that has waited for the connection, if there is one."""
-        self.state = ConnectionState.UP
+        self.state = OutgoingConnectionState.UP
         self._cancel_timers()
         if self.call is not None:
             self._write_request()
@@ -220,7 +224,7 @@
             return
         stream, call = self._stream, self.call
         written = not self.connecting and stream is not None and not stream.unsent
-        self.local_shortage = self.state is ConnectionState.WAITING and self._open_retry is not None
+        self.local_shortage = self.state is OutgoingConnectionState.WAITING and self._open_retry is not None
         self.close()
         if call is not None:
             call.broken(written, why)
