--- a/carthinge/durable/attempt_leases.py
+++ b/carthinge/durable/attempt_leases.py
@@ -100,7 +100,7 @@
                 sent=stored.sent,
                 expected=0.0,
                 begun=stored.begun,
-                open=stored.state is AttemptState.OPEN,
+                open=stored.state is AttemptState.ACTIVE,
                 alone=False,
                 may_have_run=stored.state is not AttemptState.NEVER_RAN,
             ),
--- a/carthinge/durable/job_loader.py
+++ b/carthinge/durable/job_loader.py
@@ -110,7 +110,7 @@
         durable_job.last_token = max((attempt.token for attempt in stored.attempts), default=0)
         self.recovered += 1
         self._index.add(durable_job)
-        if any(attempt.state is AttemptState.OPEN for attempt in stored.attempts):
+        if any(attempt.state is AttemptState.ACTIVE for attempt in stored.attempts):
             self._restore(durable_job)
         else:
             self.recovery_queue.add(durable_job, accepted.deadline * MICROSECOND)
--- a/carthinge/durable/records.py
+++ b/carthinge/durable/records.py
@@ -21,7 +21,7 @@
 class AttemptState(IntEnum):
     """The state of an attempt."""
 
-    OPEN = 0  #: granted; may have been sent, may be running
+    ACTIVE = 0  #: granted; may have been sent, may be running
     NEVER_RAN = 1
     MAY_HAVE_RUN = 2  #: ended without a result
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -106,7 +106,7 @@
     store = opened(tmp_path, at(7_000_000, "second", wall=1_003_000_000))  # 3 s later by the wall clock
     (job,) = store.open_jobs(0, 10).jobs
     assert job.accepted.deadline == 7_000_000 + 10_000_000 - 3_000_000
-    assert job.attempts[0].sent == 0 and job.attempts[0].state is AttemptState.OPEN
+    assert job.attempts[0].sent == 0 and job.attempts[0].state is AttemptState.ACTIVE
     store.close()
     store = opened(tmp_path, at(1_000_000, "third", wall=500_000_000))  # the wall clock was set back
     assert store.open_jobs(0, 10).jobs[0].accepted.deadline == 1_000_000 + 7_000_000
--- a/tests/test_store_batches.py
+++ b/tests/test_store_batches.py
@@ -54,7 +54,7 @@
         token = next(self.numbers)
         state = data.draw(st.sampled_from(AttemptState))
         batch = [granted(token, job), Renewed(token, 77, 5)]
-        if state is not AttemptState.OPEN:
+        if state is not AttemptState.ACTIVE:
             batch.append(AttemptFailed(token, state))
         self.apply(batch, twice)
         self.attempts[token] = (job, state)
